--- a/src/main/java/org/mountlug/core/model/JobSpec.java
+++ b/src/main/java/org/mountlug/core/model/JobSpec.java
@@ -6,87 +6,90 @@
 /** What a user asked for; never changes after submission. {@code types} and {@code zone} are null for any. */
 public record JobSpec(
         String id,
-        String lane,
+        String jobClass,
         String team,
-        Shape shape,
-        Urgency urgency,
+        JobType jobType,
+        Priority priority,
         int tasks,
-        Resources need,
-        List<String> types,
+        Resources request,
+        List<String> machineTypes,
         String zone,
         boolean oneZone,
-        boolean apart,
-        boolean spot,
+        boolean spreadAcrossZones,
+        boolean spotAllowed,
         String image,
         double imageGb,
-        double expectedS,
-        double checkpointS,
-        double saveS,
+        double expectedRunS,
+        double checkpointIntervalS,
+        double checkpointSaveS,
         double deadlineS,
         long submittedMs) {
 
     /** Whether all tasks run at the same time or none does. */
-    public boolean gang() {
-        return shape == Shape.GANG;
+    public boolean isGang() {
+        return jobType == JobType.GANG;
     }
 
     /** Whether its tasks never complete: nothing may count on one of them ending. */
-    public boolean service() {
-        return shape == Shape.SERVICE;
+    public boolean isService() {
+        return jobType == JobType.SERVICE;
     }
 
     /** What all tasks take together. */
-    public Resources whole() {
-        return new Resources(need.cpus() * tasks, need.gpus() * tasks, need.ramGb() * tasks);
+    public Resources totalRequest() {
+        return new Resources(request.cpus() * tasks, request.gpus() * tasks, request.ramGb() * tasks);
     }
 
     /** The same job, with only those allowed types that exist: of the others no machine can be had. */
-    public JobSpec narrowed(Collection<String> known) {
-        if (types == null) {
+    public JobSpec withKnownMachineTypes(Collection<String> known) {
+        if (machineTypes == null) {
             return this;
         }
-        List<String> l = types.stream().filter(known::contains).distinct().toList();
+        List<String> l =
+                machineTypes.stream().filter(known::contains).distinct().toList();
         return new JobSpec(
                 id,
-                lane,
+                jobClass,
                 team,
-                shape,
-                urgency,
+                jobType,
+                priority,
                 tasks,
-                need,
+                request,
                 l,
                 zone,
                 oneZone,
-                apart,
-                spot,
+                spreadAcrossZones,
+                spotAllowed,
                 image,
                 imageGb,
-                expectedS,
-                checkpointS,
-                saveS,
+                expectedRunS,
+                checkpointIntervalS,
+                checkpointSaveS,
                 deadlineS,
                 submittedMs);
     }
 
     /** Whether one task may ever run on this type of machine. */
-    public boolean allows(MachineType t) {
-        if (types != null && !types.contains(t.name())) {
+    public boolean canEverRunOn(MachineType t) {
+        if (machineTypes != null && !machineTypes.contains(t.name())) {
             return false;
         }
         if (zone != null && !t.zones().contains(zone)) {
             return false;
         }
-        return need.fitsIn(t.size());
+        return request.fitsIn(t.capacity());
     }
 
     /** Whether a task may start on this machine, its type, zone and kind considered; room is another question. */
     public boolean allows(String type, String inZone, boolean isSpot) {
-        return (types == null || types.contains(type)) && (zone == null || zone.equals(inZone)) && (spot || !isSpot);
+        return (machineTypes == null || machineTypes.contains(type))
+                && (zone == null || zone.equals(inZone))
+                && (spotAllowed || !isSpot);
     }
 
     /** The most tasks that may be in one zone at the same time. */
-    public int zoneMost() {
-        return apart ? (tasks + 1) / 2 : tasks;
+    public int maxTasksPerZone() {
+        return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
     }
 
     /** The name of a task on the wire. */
--- a/src/main/java/org/mountlug/core/model/MachineType.java
+++ b/src/main/java/org/mountlug/core/model/MachineType.java
@@ -5,15 +5,15 @@
 /** An entry of the cloud's catalogue. */
 public record MachineType(
         String name,
-        Resources size,
-        double cacheGb,
+        Resources capacity,
+        double imageCacheGb,
         double fetchGbPerS,
-        double price,
-        double spotPrice,
+        double onDemandPricePerHour,
+        double spotPricePerHour,
         double bootS,
         List<String> zones) {
     /** The current price an hour, of a spot machine or an ordinary one. */
-    public double price(boolean spot) {
-        return spot ? spotPrice : price;
+    public double pricePerHour(boolean spot) {
+        return spot ? spotPricePerHour : onDemandPricePerHour;
     }
 }
--- a/src/main/java/org/mountlug/core/model/Urgency.java
+++ b/src/main/java/org/mountlug/core/model/Priority.java
@@ -1,7 +1,7 @@
 package org.mountlug.core.model;
 
 /** Priority of a job, lowest first: only a strictly higher one may stop another's tasks. */
-public enum Urgency {
+public enum Priority {
     IDLE,
     STANDARD,
     HIGH,
--- a/src/main/java/org/mountlug/core/model/Report.java
+++ b/src/main/java/org/mountlug/core/model/Report.java
@@ -6,19 +6,20 @@
 public record Report(
         String machine,
         String address,
-        String type,
+        String machineType,
         String zone,
         boolean spot,
         long session,
         long sequence,
         long token,
-        double recallS,
-        List<Item> tasks) {
+        double reclaimInS,
+        List<AttemptStatus> attempts) {
     /** One attempt on the machine. */
-    public record Item(String job, int task, long attempt, TaskState state, Cause cause, boolean saved) {}
+    public record AttemptStatus(
+            String job, int task, long attempt, AttemptState state, ExitCause cause, boolean saved) {}
 
     /** Whether it was made after the report of this session and sequence. */
-    public boolean newerThan(long s, long q) {
-        return session > s || session == s && sequence > q;
+    public boolean isNewerThan(long otherSession, long otherSequence) {
+        return session > otherSession || session == otherSession && sequence > otherSequence;
     }
 }
--- a/src/main/java/org/mountlug/core/model/Resources.java
+++ b/src/main/java/org/mountlug/core/model/Resources.java
@@ -16,36 +16,36 @@
     }
 
     /** Whether this much fits into {@code room}. */
-    public boolean fitsIn(Resources room) {
-        return cpus <= room.cpus + EPS && gpus <= room.gpus + EPS && ramGb <= room.ramGb + EPS;
+    public boolean fitsIn(Resources capacity) {
+        return cpus <= capacity.cpus + EPS && gpus <= capacity.gpus + EPS && ramGb <= capacity.ramGb + EPS;
     }
 
     /** How many of this fit into {@code room} side by side. */
-    public int countIn(Resources room) {
+    public int countIn(Resources capacity) {
         double n = Integer.MAX_VALUE;
         if (cpus > 0) {
-            n = Math.min(n, (room.cpus + EPS) / cpus);
+            n = Math.min(n, (capacity.cpus + EPS) / cpus);
         }
         if (gpus > 0) {
-            n = Math.min(n, (room.gpus + EPS) / gpus);
+            n = Math.min(n, (capacity.gpus + EPS) / gpus);
         }
         if (ramGb > 0) {
-            n = Math.min(n, (room.ramGb + EPS) / ramGb);
+            n = Math.min(n, (capacity.ramGb + EPS) / ramGb);
         }
         return (int) Math.max(0, Math.floor(n));
     }
 
     /** The largest share of any one resource that this takes of {@code whole}. */
-    public double shareOf(Resources whole) {
+    public double dominantShareOf(Resources total) {
         double s = 0;
-        if (whole.cpus > 0) {
-            s = Math.max(s, cpus / whole.cpus);
+        if (total.cpus > 0) {
+            s = Math.max(s, cpus / total.cpus);
         }
-        if (whole.gpus > 0) {
-            s = Math.max(s, gpus / whole.gpus);
+        if (total.gpus > 0) {
+            s = Math.max(s, gpus / total.gpus);
         }
-        if (whole.ramGb > 0) {
-            s = Math.max(s, ramGb / whole.ramGb);
+        if (total.ramGb > 0) {
+            s = Math.max(s, ramGb / total.ramGb);
         }
         return s;
     }
--- a/src/main/java/org/mountlug/core/preempt/Preemptor.java
+++ b/src/main/java/org/mountlug/core/preempt/Preemptor.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.mountlug.Constants;
-import org.mountlug.core.allocate.Node;
-import org.mountlug.core.allocate.ReplicaTimes;
+import org.mountlug.core.allocate.MachineView;
+import org.mountlug.core.allocate.ReplicaStartTimes;
 import org.mountlug.core.cluster.Cluster;
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.JobSpec;
@@ -28,21 +28,21 @@
 
     private final Cluster cluster;
     private final Map<String, Double> lastFor = new HashMap<>();
-    private final GuestPreemption guests;
-    private ReplicaTimes times;
+    private final BestEffortPreemption guests;
+    private ReplicaStartTimes times;
 
     /** Decides for the jobs and machines of this cluster. */
     public Preemptor(Cluster cluster) {
         this.cluster = cluster;
-        this.guests = new GuestPreemption(cluster);
+        this.guests = new BestEffortPreemption(cluster);
     }
 
     /** Stops tasks to make room for jobs that the round before could not place, the most urgent first. */
-    public void round(
+    public void preemptFor(
             Collection<Job> unplaced,
-            Map<String, Node> nodes,
+            Map<String, MachineView> machineViews,
             Map<String, Resources> usage,
-            ReplicaTimes times,
+            ReplicaStartTimes times,
             double nowS) {
         this.times = times;
         lastFor.keySet().removeIf(id -> !cluster.jobs.containsKey(id));
@@ -51,67 +51,72 @@
             // Work without accelerators is queued, not forced in, as it has plenty of cheap machines to wait for; but
             // not services, which are missed from the first second on.
             if (j.cancelled
-                    || j.failureHistory.suspected()
-                    || j.spec.need().gpus() == 0 && !j.spec.service()
+                    || j.failureHistory.isSuspected()
+                    || j.spec.request().gpus() == 0 && !j.spec.isService()
                     || cluster.reservations.containsKey(j.spec.id())) {
                 continue;
             }
             if (nowS - lastFor.getOrDefault(j.spec.id(), -1e9) < Constants.PREEMPT_PAUSE_S) {
                 continue;
             }
-            if (j.spec.gang() && !j.placed.isEmpty()) {
+            if (j.spec.isGang() && !j.placements.isEmpty()) {
                 continue;
             }
             JobSpec s = j.spec;
-            int want = s.gang() ? s.tasks() : s.service() ? j.open() : Math.min(j.open(), ARRAY_TASKS);
-            int least = s.gang() ? want : 1;
+            int want = s.isGang()
+                    ? s.tasks()
+                    : s.isService() ? j.pendingTaskCount() : Math.min(j.pendingTaskCount(), ARRAY_TASKS);
+            int least = s.isGang() ? want : 1;
             Resources then = usage.getOrDefault(s.team(), Resources.ZERO)
                     .plus(new Resources(
-                            s.need().cpus() * least,
-                            s.need().gpus() * least,
-                            s.need().ramGb() * least));
+                            s.request().cpus() * least,
+                            s.request().gpus() * least,
+                            s.request().ramGb() * least));
             Team team = cluster.team(s.team());
-            if (team != null && !team.allows(then)) {
+            if (team != null && !team.isWithinLimit(then)) {
                 continue;
             }
-            boolean due = team != null && team.guarantees(then);
+            boolean due = team != null && team.isWithinGuarantee(then);
             if (left == null) {
                 left = remaining(usage);
             }
             Set<String> zones = new LinkedHashSet<>();
-            if (s.gang() && s.oneZone()) {
-                for (Node n : nodes.values()) {
+            if (s.isGang() && s.oneZone()) {
+                for (MachineView n : machineViews.values()) {
                     zones.add(n.machine.zone);
                 }
             } else {
                 zones.add(null);
             }
             for (String zone : zones) {
-                Plan p = plan(j, zone, want, least, due, nodes, left, nowS);
+                Plan p = plan(j, zone, want, least, due, machineViews, left, nowS);
                 if (p == null) {
                     continue;
                 }
                 for (Placement v : p.victims) {
-                    v.stop(v.job.spec.checkpointS() > 0 ? v.job.spec.saveS() + Constants.SAVE_GRACE_S : 0);
-                    if (v.job.spec.gang()) {
-                        for (Placement q : v.job.placed.values()) {
-                            q.stop(v.leewayS);
+                    v.requestStop(
+                            v.job.spec.checkpointIntervalS() > 0
+                                    ? v.job.spec.checkpointSaveS() + Constants.SAVE_GRACE_S
+                                    : 0);
+                    if (v.job.spec.isGang()) {
+                        for (Placement q : v.job.placements.values()) {
+                            q.requestStop(v.gracePeriodS);
                         }
                     }
-                    cluster.event("preempted for " + s.id(), v.name() + " on " + v.machine);
+                    cluster.addEvent("preempted for " + s.id(), v.taskName() + " on " + v.machine);
                 }
                 lastFor.put(s.id(), nowS);
                 left = p.left;
                 break;
             }
         }
-        guests.round(unplaced, nodes, usage, nowS);
+        guests.preemptFor(unplaced, machineViews, usage, nowS);
     }
 
     /** What to stop for one job, and the room that it takes in the round's view. */
     private static final class Plan {
         final Set<Placement> victims = new LinkedHashSet<>();
-        final List<Node> claimed = new ArrayList<>();
+        final List<MachineView> claimed = new ArrayList<>();
         final Map<String, Resources> left;
 
         Plan(Map<String, Resources> left) {
@@ -123,9 +128,9 @@
     private Map<String, Resources> remaining(Map<String, Resources> usage) {
         Map<String, Resources> left = new HashMap<>(usage);
         for (Job j : cluster.jobs.values()) {
-            for (Placement p : j.placed.values()) {
+            for (Placement p : j.placements.values()) {
                 if (p.stopping) {
-                    left.merge(j.spec.team(), j.spec.need(), Resources::minus);
+                    left.merge(j.spec.team(), j.spec.request(), Resources::minus);
                 }
             }
         }
@@ -134,8 +139,8 @@
 
     /** What goes with a task that is stopped: a gang stops as a whole. */
     private static Resources goesWith(Placement p) {
-        Resources n = p.job.spec.need();
-        int k = p.job.spec.gang() ? p.job.placed.size() : 1;
+        Resources n = p.job.spec.request();
+        int k = p.job.spec.isGang() ? p.job.placements.size() : 1;
         return new Resources(n.cpus() * k, n.gpus() * k, n.ramGb() * k);
     }
 
@@ -149,55 +154,55 @@
             int want,
             int least,
             boolean due,
-            Map<String, Node> nodes,
+            Map<String, MachineView> machineViews,
             Map<String, Resources> left,
             double nowS) {
         Plan p = new Plan(left);
-        Resources need = j.spec.need();
+        Resources need = j.spec.request();
         int got = 0;
         Map<String, Integer> perZone = new HashMap<>();
-        if (j.spec.gang()) {
-            for (Node n : nodes.values()) {
-                while (got < want && may(j, n, zone) && need.fitsIn(n.future())) {
-                    n.pipelined = n.pipelined.plus(need);
+        if (j.spec.isGang()) {
+            for (MachineView n : machineViews.values()) {
+                while (got < want && may(j, n, zone) && need.fitsIn(n.futureFree())) {
+                    n.reserved = n.reserved.plus(need);
                     p.claimed.add(n);
                     got++;
                 }
             }
         }
         while (got < want) {
-            List<Placement> victims = cheapest(j, zone, due, p, perZone, nodes, nowS);
+            List<Placement> victims = cheapest(j, zone, due, p, perZone, machineViews, nowS);
             if (victims == null) {
                 break;
             }
-            Node n = nodes.get(victims.get(0).machine);
+            MachineView n = machineViews.get(victims.get(0).machine);
             for (Placement v : victims) {
-                n.releasing = n.releasing.plus(v.job.spec.need());
+                n.releasing = n.releasing.plus(v.job.spec.request());
                 p.left.merge(v.job.spec.team(), goesWith(v), Resources::minus);
             }
             p.victims.addAll(victims);
             perZone.merge(n.machine.zone, 1, Integer::sum);
-            n.pipelined = n.pipelined.plus(need);
+            n.reserved = n.reserved.plus(need);
             p.claimed.add(n);
             got++;
         }
         if (got >= least && !p.victims.isEmpty()) {
             return p;
         }
-        for (Node n : p.claimed) {
-            n.pipelined = n.pipelined.minus(need);
+        for (MachineView n : p.claimed) {
+            n.reserved = n.reserved.minus(need);
         }
         for (Placement v : p.victims) {
-            Node n = nodes.get(v.machine);
-            n.releasing = n.releasing.minus(v.job.spec.need());
+            MachineView n = machineViews.get(v.machine);
+            n.releasing = n.releasing.minus(v.job.spec.request());
         }
         return null;
     }
 
-    private static boolean may(Job j, Node n, String zone) {
+    private static boolean may(Job j, MachineView n, String zone) {
         return j.spec.allows(n.machine.type.name(), n.machine.zone, n.machine.spot)
                 && (zone == null || zone.equals(n.machine.zone))
-                && (n.machine.heldFor == null || n.machine.heldFor.equals(j.spec.id()));
+                && (n.machine.heldForGang == null || n.machine.heldForGang.equals(j.spec.id()));
     }
 
     private List<Placement> cheapest(
@@ -206,26 +211,29 @@
             boolean due,
             Plan plan,
             Map<String, Integer> perZone,
-            Map<String, Node> nodes,
+            Map<String, MachineView> machineViews,
             double nowS) {
         JobSpec s = j.spec;
         List<Placement> best = null;
         double least = Double.MAX_VALUE;
-        for (Node n : nodes.values()) {
-            if (!may(j, n, zone) || !s.need().fitsIn(n.machine.type.size())) {
+        for (MachineView n : machineViews.values()) {
+            if (!may(j, n, zone) || !s.request().fitsIn(n.machine.type.capacity())) {
                 continue;
             }
-            if (s.service() && s.need().gpus() == 0 && n.machine.type.size().gpus() > 0) {
+            if (s.isService()
+                    && s.request().gpus() == 0
+                    && n.machine.type.capacity().gpus() > 0) {
                 continue;
             }
-            if (s.service() && times.mayWait(j) && times.lateS(j, n.machine) > 0) {
+            if (s.isService() && times.canWait(j) && times.latenessS(j, n.machine) > 0) {
                 continue;
             }
-            if (s.apart() && !j.zoneAllows(n.machine.zone, 1 + perZone.getOrDefault(n.machine.zone, 0))) {
+            if (s.spreadAcrossZones()
+                    && !j.zoneRulesAllow(n.machine.zone, 1 + perZone.getOrDefault(n.machine.zone, 0))) {
                 continue;
             }
             List<Placement> may = new ArrayList<>();
-            for (Placement p : n.machine.placed.values()) {
+            for (Placement p : n.machine.placements.values()) {
                 if (!p.stopping && !p.standby && !plan.victims.contains(p) && mayStop(s, due, p, plan.left, Map.of())) {
                     may.add(p);
                 }
@@ -234,26 +242,26 @@
                 continue;
             }
             may.sort(Comparator.comparingDouble(p -> loss(p, nowS)));
-            Resources room = n.future();
+            Resources room = n.futureFree();
             List<Placement> taken = new ArrayList<>();
             Map<String, Resources> gone = new HashMap<>();
             // A start waits for its image too: a machine that has it is worth the loss of as much work.
-            double cost = n.machine.images.contains(s.image())
+            double cost = n.machine.cachedImages.contains(s.image())
                     ? 0
                     : s.imageGb() / Math.max(0.01, n.machine.type.fetchGbPerS());
             for (Placement p : may) {
-                if (s.need().fitsIn(room)) {
+                if (s.request().fitsIn(room)) {
                     break;
                 }
                 if (!mayStop(s, due, p, plan.left, gone)) {
                     continue;
                 }
                 gone.merge(p.job.spec.team(), goesWith(p), Resources::plus);
-                room = room.plus(p.job.spec.need());
+                room = room.plus(p.job.spec.request());
                 taken.add(p);
                 cost += loss(p, nowS);
             }
-            if (!taken.isEmpty() && s.need().fitsIn(room) && cost < least) {
+            if (!taken.isEmpty() && s.request().fitsIn(room) && cost < least) {
                 least = cost;
                 best = taken;
             }
@@ -270,35 +278,37 @@
             JobSpec s, boolean due, Placement p, Map<String, Resources> left, Map<String, Resources> gone) {
         JobSpec v = p.job.spec;
         // Accelerator work is worth more than the little room that a service takes beside it.
-        if (s.service() && s.need().gpus() == 0 && (v.need().gpus() > 0 || v.gang())) {
+        if (s.isService() && s.request().gpus() == 0 && (v.request().gpus() > 0 || v.isGang())) {
             return false;
         }
-        if (v.urgency().compareTo(s.urgency()) < 0) {
+        if (v.priority().compareTo(s.priority()) < 0) {
             return true;
         }
         if (!due || v.team().equals(s.team())) {
             return false;
         }
         Team other = cluster.team(v.team());
-        if (other == null || other.gpus() <= 0 && other.cpus() <= 0) {
+        if (other == null || other.guaranteedGpus() <= 0 && other.guaranteedCpus() <= 0) {
             return false;
         }
         Resources then = left.getOrDefault(v.team(), Resources.ZERO)
                 .minus(gone.getOrDefault(v.team(), Resources.ZERO))
                 .minus(goesWith(p));
-        return v.need().gpus() > 0 && other.gpus() > 0 ? then.gpus() > other.gpus() - 1e-6 : !other.guarantees(then);
+        return v.request().gpus() > 0 && other.guaranteedGpus() > 0
+                ? then.gpus() > other.guaranteedGpus() - 1e-6
+                : !other.isWithinGuarantee(then);
     }
 
     /** Seconds of work that a stop would waste: all of it without checkpoints, the saving otherwise. */
     private double loss(Placement p, double nowS) {
         JobSpec s = p.job.spec;
-        double ran = Double.isNaN(p.runningS) ? 0 : nowS - p.runningS;
-        double share = s.need().gpus() > 0 ? s.need().gpus() : s.need().cpus() / 16;
-        if (s.service()) {
-            return Constants.REPLICA_LOSS_S;
+        double ran = Double.isNaN(p.runningSinceS) ? 0 : nowS - p.runningSinceS;
+        double share = s.request().gpus() > 0 ? s.request().gpus() : s.request().cpus() / 16;
+        if (s.isService()) {
+            return Constants.REPLICA_LOSS_COST_S;
         }
-        double left = Math.max(0, cluster.expectedS(p.job) - ran);
-        double waste = s.checkpointS() > 0 ? s.saveS() + 5 : ran + 5;
+        double left = Math.max(0, cluster.expectedRunS(p.job) - ran);
+        double waste = s.checkpointIntervalS() > 0 ? s.checkpointSaveS() + 5 : ran + 5;
         return share * waste + (left < 5 ? 20 : 0);
     }
 }
--- a/src/main/java/org/mountlug/core/scale/MachineKind.java
+++ b/src/main/java/org/mountlug/core/scale/CapacityPool.java
@@ -3,10 +3,10 @@
 import org.mountlug.core.cluster.Machine;
 
 /** What the cloud's capacity is counted by: a machine type in a zone, spot or ordinary. */
-public record MachineKind(String type, String zone, boolean spot) {
+public record CapacityPool(String type, String zone, boolean spot) {
     /** The kind of a machine whose type is known. */
-    public static MachineKind of(Machine machine) {
-        return new MachineKind(machine.type.name(), machine.zone, machine.spot);
+    public static CapacityPool of(Machine machine) {
+        return new CapacityPool(machine.type.name(), machine.zone, machine.spot);
     }
 
     @Override
--- a/src/main/java/org/mountlug/core/scale/RentalPlan.java
+++ b/src/main/java/org/mountlug/core/scale/RentalPlan.java
@@ -25,12 +25,12 @@
     private final double nowS;
     private final Set<String> barredZones;
     /** Kinds of machine that were refused, with the steady seconds until which they are not asked for. */
-    private final Map<MachineKind, Double> exhausted;
+    private final Map<CapacityPool, Double> exhausted;
 
     private final List<PlannedMachine> planned = new ArrayList<>();
-    private final RefusedDemand refused = new RefusedDemand();
-    private final Map<MachineKind, Integer> orders = new LinkedHashMap<>();
-    private int patientLeft = Integer.MAX_VALUE;
+    private final UnplaceableDemand refused = new UnplaceableDemand();
+    private final Map<CapacityPool, Integer> machinesToRent = new LinkedHashMap<>();
+    private int deferrableLeft = Integer.MAX_VALUE;
     private boolean patient;
 
     RentalPlan(
@@ -38,7 +38,7 @@
             BootHistory boots,
             double spotRisk,
             Set<String> barredZones,
-            Map<MachineKind, Double> exhausted,
+            Map<CapacityPool, Double> exhausted,
             double nowS) {
         this.cluster = cluster;
         this.boots = boots;
@@ -49,44 +49,44 @@
     }
 
     /** The machines on which queued work may count; to be set before anything is planned. */
-    void counts(List<PlannedMachine> machines) {
+    void addMachines(List<PlannedMachine> machines) {
         planned.addAll(machines);
-        planned.sort(Comparator.comparingDouble(machine -> machine.bootS));
+        planned.sort(Comparator.comparingDouble(machine -> machine.readyInS));
     }
 
     /** Limits how many machines are ordered for patient work, see {@link #patient}. */
-    void limitPatient(int most) {
-        patientLeft = most;
+    void limitDeferrable(int most) {
+        deferrableLeft = most;
     }
 
     /** Tells whether what is ordered from now on is for work that can wait and see whether a lost zone comes back. */
-    void patient(boolean is) {
+    void setDeferrable(boolean is) {
         patient = is;
     }
 
     /** How many machines of each kind to order. */
-    Map<MachineKind, Integer> orders() {
-        return orders;
+    Map<CapacityPool, Integer> machinesToRent() {
+        return machinesToRent;
     }
 
     /** Lays up to {@code wanted} tasks over the machines; returns how many they take. */
-    int assign(JobSpec spec, double expectedS, double horizonS, int wanted, boolean plainOnly) {
-        boolean upAreFull = refused.covers(spec, expectedS, horizonS, plainOnly);
+    int assign(JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly) {
+        boolean upAreFull = refused.covers(spec, expectedS, horizonS, cpuOnly);
         int taken = 0;
         int takenByUp = 0;
         for (PlannedMachine machine : planned) {
             if (taken >= wanted) {
                 return taken;
             }
-            if (upAreFull && machine.bootS == 0 || !machine.allowedFor(spec, plainOnly)) {
+            if (upAreFull && machine.readyInS == 0 || !machine.allows(spec, cpuOnly)) {
                 continue;
             }
-            int more = machine.takes(spec, expectedS, horizonS, wanted - taken);
+            int more = machine.assign(spec, expectedS, horizonS, wanted - taken);
             taken += more;
-            takenByUp += machine.bootS == 0 ? more : 0;
+            takenByUp += machine.readyInS == 0 ? more : 0;
         }
         if (takenByUp == 0 && !upAreFull) {
-            refused.add(spec, expectedS, horizonS, plainOnly);
+            refused.add(spec, expectedS, horizonS, cpuOnly);
         }
         return taken;
     }
@@ -95,41 +95,41 @@
     private record Offer(PlannedMachine machine, int count, double cost) {}
 
     /** Orders machines for {@code wanted} tasks; returns how many they serve. */
-    int rent(JobSpec spec, double expectedS, double horizonS, int wanted, boolean plainOnly) {
-        return rent(spec, expectedS, horizonS, wanted, plainOnly, barredZones);
+    int rent(JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly) {
+        return rent(spec, expectedS, horizonS, wanted, cpuOnly, barredZones);
     }
 
     private int rent(
-            JobSpec spec, double expectedS, double horizonS, int wanted, boolean plainOnly, Set<String> barredZones) {
+            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> barredZones) {
         int left = wanted;
         while (left > 0) {
-            Offer best = cheapest(spec, expectedS, horizonS, left, plainOnly, barredZones);
+            Offer best = cheapest(spec, expectedS, horizonS, left, cpuOnly, barredZones);
             if (best == null) {
                 break;
             }
-            MachineKind kind = best.machine.kind();
-            int have = orders.getOrDefault(kind, 0);
-            int take = Math.min(best.count, Constants.RENT_MAX * Constants.RENT_CALLS_A_KIND - have);
-            take = patient ? Math.min(take, patientLeft) : take;
+            CapacityPool kind = best.machine.pool();
+            int have = machinesToRent.getOrDefault(kind, 0);
+            int take = Math.min(best.count, Constants.MAX_MACHINES_PER_RENTAL * Constants.MAX_RENTALS_PER_POOL - have);
+            take = patient ? Math.min(take, deferrableLeft) : take;
             if (take <= 0) {
                 break;
             }
-            patientLeft -= patient ? take : 0;
+            deferrableLeft -= patient ? take : 0;
             for (int i = 0; i < take && left > 0; i++) {
-                PlannedMachine machine = best.machine.another();
-                left -= Math.max(1, machine.takes(spec, expectedS, horizonS, left));
+                PlannedMachine machine = best.machine.emptyCopy();
+                left -= Math.max(1, machine.assign(spec, expectedS, horizonS, left));
                 planned.add(machine);
             }
-            orders.put(kind, have + take);
+            machinesToRent.put(kind, have + take);
         }
         return wanted - Math.max(0, left);
     }
 
     private Offer cheapest(
-            JobSpec spec, double expectedS, double horizonS, int wanted, boolean plainOnly, Set<String> barredZones) {
+            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> barredZones) {
         Offer best = null;
         for (MachineType type : cluster.types()) {
-            if (!spec.allows(type) || plainOnly && type.size().gpus() > 0) {
+            if (!spec.canEverRunOn(type) || cpuOnly && type.capacity().gpus() > 0) {
                 continue;
             }
             for (String zone : type.zones()) {
@@ -138,7 +138,7 @@
                 }
                 for (boolean spot : new boolean[] {false, true}) {
                     Offer offer =
-                            offer(spec, expectedS, horizonS, wanted, type, new MachineKind(type.name(), zone, spot));
+                            offer(spec, expectedS, horizonS, wanted, type, new CapacityPool(type.name(), zone, spot));
                     if (offer != null && (best == null || offer.cost < best.cost)) {
                         best = offer;
                     }
@@ -149,41 +149,41 @@
     }
 
     private Offer offer(
-            JobSpec spec, double expectedS, double horizonS, int wanted, MachineType type, MachineKind kind) {
+            JobSpec spec, double expectedS, double horizonS, int wanted, MachineType type, CapacityPool kind) {
         if (!spec.allows(kind.type(), kind.zone(), kind.spot())
                 || exhausted.getOrDefault(kind, 0.0) > nowS
-                || boots.avoided(kind, nowS)) {
+                || boots.isAvoided(kind, nowS)) {
             return null;
         }
-        double bootS = type.bootS() * boots.slowness(kind, nowS);
+        double bootS = type.bootS() * boots.bootTimeFactor(kind, nowS);
         PlannedMachine machine = new PlannedMachine(type, kind.zone(), kind.spot(), bootS);
-        int each = machine.another().takes(spec, expectedS, horizonS, wanted);
+        int each = machine.emptyCopy().assign(spec, expectedS, horizonS, wanted);
         if (each == 0) {
             return null;
         }
         int count = (wanted + each - 1) / each;
-        double price = type.price(kind.spot()) * (kind.spot() ? spotRisk : 1) / (1 - boots.lossRate(kind, nowS));
+        double price = type.pricePerHour(kind.spot()) * (kind.spot() ? spotRisk : 1) / (1 - boots.lossRate(kind, nowS));
         return new Offer(machine, count, count * price * (bootS + busyS(spec, expectedS, type, wanted, count)));
     }
 
     /** Seconds for which each of the machines would work. */
     private static double busyS(JobSpec spec, double expectedS, MachineType type, int wanted, int count) {
-        if (spec.service()) {
-            return Constants.SERVICE_PAID_S;
+        if (spec.isService()) {
+            return Constants.ASSUMED_SERVICE_RENTAL_S;
         }
         double waves =
-                Math.ceil((double) wanted / count / Math.max(1, spec.need().countIn(type.size())));
-        return Math.max(Constants.BUSY_LEAST_S, expectedS * waves);
+                Math.ceil((double) wanted / count / Math.max(1, spec.request().countIn(type.capacity())));
+        return Math.max(Constants.MIN_ESTIMATED_RENTAL_S, expectedS * waves);
     }
 
     /** Room for so many replicas of a service that is live, or with no job for ones that are yet to come. */
-    void replicas(JobSpec spec, int wanted, Job job) {
-        boolean plain = spec.need().gpus() == 0;
-        Map<String, Integer> zoneLeft = spec.apart() ? zoneLeft(spec, wanted, job) : new HashMap<>();
+    void planReplicas(JobSpec spec, int wanted, Job job) {
+        boolean plain = spec.request().gpus() == 0;
+        Map<String, Integer> zoneLeft = spec.spreadAcrossZones() ? zoneLeft(spec, wanted, job) : new HashMap<>();
         int left = wanted - assignReplicas(spec, wanted, plain, zoneLeft);
         zoneLeft.keySet().removeAll(barredZones);
         while (left > 0) {
-            int asked = spec.apart() ? Math.min(left, most(zoneLeft)) : left;
+            int asked = spec.spreadAcrossZones() ? Math.min(left, most(zoneLeft)) : left;
             if (asked <= 0) {
                 return;
             }
@@ -198,7 +198,7 @@
                 got = rent(spec, 0, 0, asked, false, barred);
             }
             if (got <= 0) {
-                if (!spec.apart()) {
+                if (!spec.spreadAcrossZones()) {
                     return;
                 }
                 zoneLeft.keySet().removeIf(zone -> !barred.contains(zone)); // nothing to be had there
@@ -216,11 +216,11 @@
 
     /** How many more replicas each zone may have. */
     private Map<String, Integer> zoneLeft(JobSpec spec, int wanted, Job job) {
-        int most = job != null ? spec.zoneMost() : (wanted + 1) / 2;
+        int most = job != null ? spec.maxTasksPerZone() : (wanted + 1) / 2;
         Map<String, Integer> zoneLeft = new HashMap<>();
         for (MachineType type : cluster.types()) {
             for (String zone : type.zones()) {
-                zoneLeft.put(zone, most - (job == null ? 0 : job.placedIn(zone)));
+                zoneLeft.put(zone, most - (job == null ? 0 : job.placedTasksIn(zone)));
             }
         }
         return zoneLeft;
@@ -232,14 +232,14 @@
             if (taken >= wanted) {
                 break;
             }
-            if (!machine.allowedFor(spec, plain)) {
+            if (!machine.allows(spec, plain)) {
                 continue;
             }
             int may = Math.min(wanted - taken, zoneLeft.getOrDefault(machine.zone, wanted - taken));
             if (may <= 0) {
                 continue;
             }
-            int more = machine.takes(spec, 0, 0, may);
+            int more = machine.assign(spec, 0, 0, may);
             taken += more;
             zoneLeft.computeIfPresent(machine.zone, (zone, room) -> room - more);
         }
--- a/src/main/java/org/mountlug/core/scale/ReturnPlanner.java
+++ b/src/main/java/org/mountlug/core/scale/ReturnPlanner.java
@@ -11,7 +11,7 @@
 import org.mountlug.core.cluster.Machine;
 import org.mountlug.core.model.JobSpec;
 import org.mountlug.core.model.Placement;
-import org.mountlug.core.zone.ZoneWatch;
+import org.mountlug.core.zone.ZoneMonitor;
 
 /** Decides which machines to return: idle, condemned, never up, or silent beyond what is worth waiting for. */
 final class ReturnPlanner {
@@ -22,7 +22,7 @@
     private final double reportS;
     private final double idleKeepS;
     private final BootHistory boots;
-    private final ZoneWatch zones;
+    private final ZoneMonitor zones;
     private final ServiceDemand services;
 
     ReturnPlanner(
@@ -31,7 +31,7 @@
             double reportS,
             double idleKeepS,
             BootHistory boots,
-            ZoneWatch zones,
+            ZoneMonitor zones,
             ServiceDemand services) {
         this.cluster = cluster;
         this.leaseS = leaseS;
@@ -53,12 +53,12 @@
             double nowS) {}
 
     /** Machines to return now; marks them. */
-    List<String> returns(double nowS, double nowEpochS) {
+    List<String> planReturns(double nowS, double nowEpochS) {
         View view = view(nowS, nowEpochS);
-        int idleSubstitutes = zones.returnable();
+        int idleSubstitutes = zones.maxSubstituteReturns();
         List<String> out = new ArrayList<>();
         for (Machine m : cluster.machines.values()) {
-            if (m.releasing) {
+            if (m.beingReturned) {
                 out.add(m.name); // asked for before without an answer: asking again is harmless
                 continue;
             }
@@ -66,23 +66,24 @@
             if (why == null) {
                 continue;
             }
-            if (why.equals(IDLE) && zones.substitute(m) && idleSubstitutes-- <= 0) {
+            if (why.equals(IDLE) && zones.isSubstitute(m) && idleSubstitutes-- <= 0) {
                 continue; // its zone has yet to show that it takes the work back
             }
-            m.releasing = true;
-            cluster.event("returning, " + why, m.name);
+            m.beingReturned = true;
+            cluster.addEvent("returning, " + why, m.name);
             out.add(m.name);
         }
-        return out.size() > Constants.RELEASE_MAX ? out.subList(0, Constants.RELEASE_MAX) : out;
+        return out.size() > Constants.MAX_MACHINES_PER_RETURN ? out.subList(0, Constants.MAX_MACHINES_PER_RETURN) : out;
     }
 
     private View view(double nowS, double nowEpochS) {
         Map<JobSpec, Integer> expected = services.expectedReplicas(nowEpochS);
-        expected.replaceAll((s, n) -> services.freeSlots(s) - n);
-        Set<String> quietZones = expected.isEmpty() && !services.hasServices() ? Set.of() : zones.quiet(nowS);
+        expected.replaceAll((s, n) -> services.freeReplicaSlots(s) - n);
+        Set<String> quietZones = expected.isEmpty() && !services.hasServices() ? Set.of() : zones.lateZones(nowS);
         Set<String> reserved = new HashSet<>();
         cluster.reservations.values().forEach(l -> l.forEach(r -> reserved.add(r.machine())));
-        return new View(expected, quietZones, zones.disturbed(nowS), reserved, lastIdle(), trustSilence(nowS), nowS);
+        return new View(
+                expected, quietZones, zones.disturbedZones(nowS), reserved, lastIdle(), trustSilence(nowS), nowS);
     }
 
     /** Whether silence is the machines' own: when most are silent it is more likely us who cannot hear. */
@@ -90,7 +91,7 @@
         int up = 0;
         int silent = 0;
         for (Machine m : cluster.machines.values()) {
-            if (!m.cameUp() && m.placed.isEmpty() || m.unlisted) {
+            if (!m.hasBooted() && m.placements.isEmpty() || m.unlisted) {
                 continue;
             }
             up++;
@@ -102,7 +103,7 @@
     }
 
     private double quietS() {
-        return leaseS + Constants.SILENT_RELEASE_S;
+        return leaseS + Constants.SILENT_RETURN_MARGIN_S;
     }
 
     /**
@@ -112,7 +113,7 @@
     private Map<String, Machine> lastIdle() {
         Map<String, Machine> last = new HashMap<>();
         for (Machine m : cluster.machines.values()) {
-            if (m.usable() && m.empty()) {
+            if (m.isSchedulable() && m.isEmpty()) {
                 last.merge(m.type.name(), m, ReturnPlanner::laterIdle);
             }
         }
@@ -129,7 +130,7 @@
     /** Why a machine is to be returned, or null. */
     private String reason(Machine m, View view) {
         double nowS = view.nowS;
-        if (!m.cameUp() && m.placed.isEmpty()) {
+        if (!m.hasBooted() && m.placements.isEmpty()) {
             return neverCameUp(m, nowS) ? "never came up" : null;
         }
         if (m.unlisted && cluster.silentS(m, nowS) > leaseS / 2) {
@@ -144,10 +145,10 @@
         if (replicasSilent(m, view.quietZones, nowS)) {
             return "silent, with replicas";
         }
-        if (m.sick && m.placed.isEmpty()) {
+        if (m.quarantined && m.placements.isEmpty()) {
             return "sick";
         }
-        if (m.vacating && m.empty()) {
+        if (m.draining && m.isEmpty()) {
             return "vacated";
         }
         return idle(m, view) ? IDLE : null;
@@ -155,30 +156,32 @@
 
     private boolean neverCameUp(Machine m, double nowS) {
         boolean known = m.type != null && m.zone != null;
-        double giveUpS = known ? boots.giveUpS(m, nowS) : bootS(m) * Constants.BOOT_GIVE_UP + Constants.BOOT_GIVE_UP_S;
-        if (nowS - m.rentedS <= giveUpS || cluster.hearingFor(nowS) <= leaseS) {
+        double giveUpS = known
+                ? boots.giveUpAfterS(m, nowS)
+                : bootS(m) * Constants.BOOT_TIMEOUT_FACTOR + Constants.BOOT_TIMEOUT_MARGIN_S;
+        if (nowS - m.rentedS <= giveUpS || cluster.listeningForS(nowS) <= leaseS) {
             return false;
         }
         if (known) {
-            boots.lost(m, nowS);
+            boots.recordLost(m, nowS);
         }
         return true;
     }
 
     private static double bootS(Machine m) {
-        return m.type == null ? Constants.UNKNOWN_BOOT_S : m.type.bootS();
+        return m.type == null ? Constants.DEFAULT_BOOT_S : m.type.bootS();
     }
 
     /** A silent machine that the cloud still lists is worth waiting for as long as a new one would take to come up. */
     private static double worthWaitingS(Machine m, View view) {
         if (view.disturbedZones.contains(m.zone)) {
-            return Constants.SILENT_ZONE_S;
+            return Constants.SILENT_ZONE_KEEP_S;
         }
-        return Double.isNaN(m.listedS) ? 0 : bootS(m) - Constants.SILENT_RELEASE_S;
+        return Double.isNaN(m.firstListedS) ? 0 : bootS(m) - Constants.SILENT_RETURN_MARGIN_S;
     }
 
     private boolean idle(Machine m, View view) {
-        if (!m.synced || m.deaf || !m.empty() || view.reserved.contains(m.name)) {
+        if (!m.tokenConfirmed || m.unreachable || !m.isEmpty() || view.reserved.contains(m.name)) {
             return false;
         }
         boolean last = m.type != null && view.lastIdle.get(m.type.name()) == m;
@@ -188,18 +191,18 @@
 
     /** Its reports come, but answers have had no effect for so long that all it ran has lost its lease. */
     private boolean hearsNothing(Machine m, double nowS) {
-        return m.up && cluster.unheardS(m, nowS) > Constants.UNHEARD_LEASES * leaseS;
+        return m.hasReported && cluster.outOfContactS(m, nowS) > Constants.OUT_OF_CONTACT_RETURN_LEASES * leaseS;
     }
 
     /** Whether returning this idle machine would leave too little room for the services to come; takes its room off. */
     private boolean keptForServices(Machine m, Map<JobSpec, Integer> beyond) {
         for (Map.Entry<JobSpec, Integer> e : beyond.entrySet()) {
-            int k = ServiceDemand.slots(m, e.getKey());
+            int k = ServiceDemand.replicaSlots(m, e.getKey());
             if (k > 0 && e.getValue() < k) {
                 return true;
             }
         }
-        beyond.replaceAll((s, n) -> n - ServiceDemand.slots(m, s));
+        beyond.replaceAll((s, n) -> n - ServiceDemand.replicaSlots(m, s));
         return false;
     }
 
@@ -210,21 +213,23 @@
      */
     private boolean replicasSilent(Machine m, Set<String> quietZones, double nowS) {
         double silent = cluster.silentS(m, nowS);
-        if (!m.up || silent <= reportS * Constants.REPLICAS_SILENT_REPORTS || quietZones.contains(m.zone)) {
+        if (!m.hasReported || silent <= reportS * Constants.REPLICA_SILENCE_INTERVALS || quietZones.contains(m.zone)) {
             return false;
         }
-        if (cluster.hearingFor(nowS) < Constants.REPLICAS_HEARING_S) {
+        if (cluster.listeningForS(nowS) < Constants.REPLICA_SILENCE_MIN_TERM_S) {
             return false;
         }
         double gain = 0;
         double loss = 0;
-        for (Placement p : m.placed.values()) {
-            double ran = Double.isNaN(p.runningS) ? 0 : nowS - p.runningS;
-            if (p.job.spec.service()) {
+        for (Placement p : m.placements.values()) {
+            double ran = Double.isNaN(p.runningSinceS) ? 0 : nowS - p.runningSinceS;
+            if (p.job.spec.isService()) {
                 gain += Math.max(0, leaseS - silent);
             } else {
-                loss += p.job.spec.need().shareOf(m.type.size())
-                        * (p.job.spec.checkpointS() > 0 ? Math.min(ran, p.job.spec.checkpointS()) : ran);
+                loss += p.job.spec.request().dominantShareOf(m.type.capacity())
+                        * (p.job.spec.checkpointIntervalS() > 0
+                                ? Math.min(ran, p.job.spec.checkpointIntervalS())
+                                : ran);
             }
         }
         return gain > loss;
--- a/src/main/java/org/mountlug/core/scale/ServiceDemand.java
+++ b/src/main/java/org/mountlug/core/scale/ServiceDemand.java
@@ -23,21 +23,22 @@
         Map<String, JobSpec> latest = new LinkedHashMap<>();
         Map<String, Integer> asked = new HashMap<>();
         for (Job j : cluster.jobs.values()) {
-            if (!j.spec.service() || nowEpochS - j.spec.submittedMs() / 1000.0 > Constants.SERVICE_RATE_S) {
+            if (!j.spec.isService() || nowEpochS - j.spec.submittedMs() / 1000.0 > Constants.SERVICE_DEMAND_WINDOW_S) {
                 continue;
             }
-            latest.merge(j.spec.lane(), j.spec, (a, b) -> a.submittedMs() > b.submittedMs() ? a : b);
-            asked.merge(j.spec.lane(), j.spec.tasks(), Integer::sum);
+            latest.merge(j.spec.jobClass(), j.spec, (a, b) -> a.submittedMs() > b.submittedMs() ? a : b);
+            asked.merge(j.spec.jobClass(), j.spec.tasks(), Integer::sum);
         }
         Map<JobSpec, Integer> out = new LinkedHashMap<>();
         for (JobSpec s : latest.values()) {
             double boot = Double.MAX_VALUE;
             for (MachineType t : cluster.types()) {
-                if (s.allows(t)) {
+                if (s.canEverRunOn(t)) {
                     boot = Math.min(boot, t.bootS());
                 }
             }
-            double n = asked.get(s.lane()) / Constants.SERVICE_RATE_S * (boot + Constants.SERVICE_ROOM_S);
+            double n =
+                    asked.get(s.jobClass()) / Constants.SERVICE_DEMAND_WINDOW_S * (boot + Constants.SERVICE_HEADROOM_S);
             out.put(s, Math.max(s.tasks(), (int) Math.ceil(n)));
         }
         return out;
@@ -46,7 +47,7 @@
     /** Whether any service is live. */
     boolean hasServices() {
         for (Job j : cluster.jobs.values()) {
-            if (j.spec.service()) {
+            if (j.spec.isService()) {
                 return true;
             }
         }
@@ -54,22 +55,26 @@
     }
 
     /** How many replicas machines could hold that are there or coming, if all that ends made room for them. */
-    int freeSlots(JobSpec s) {
+    int freeReplicaSlots(JobSpec s) {
         int n = 0;
         for (Machine m : cluster.machines.values()) {
-            n += slots(m, s);
+            n += replicaSlots(m, s);
         }
         return n;
     }
 
     /** How many replicas this machine could hold. */
-    static int slots(Machine m, JobSpec s) {
-        if (m.type == null || m.releasing || m.sick || !Double.isNaN(m.takenS) || m.up && m.deaf) {
+    static int replicaSlots(Machine m, JobSpec s) {
+        if (m.type == null
+                || m.beingReturned
+                || m.quarantined
+                || !Double.isNaN(m.reclaimAtS)
+                || m.hasReported && m.unreachable) {
             return 0;
         }
-        if (s.need().gpus() == 0 && m.type.size().gpus() > 0 || !s.allows(m.type.name(), m.zone, m.spot)) {
+        if (s.request().gpus() == 0 && m.type.capacity().gpus() > 0 || !s.allows(m.type.name(), m.zone, m.spot)) {
             return 0;
         }
-        return s.need().countIn(m.type.size().minus(m.services()));
+        return s.request().countIn(m.type.capacity().minus(m.allocatedToServices()));
     }
 }
--- a/src/main/java/org/mountlug/core/scale/RefusedDemand.java
+++ b/src/main/java/org/mountlug/core/scale/UnplaceableDemand.java
@@ -11,10 +11,10 @@
  * Demand that the machines that are up could not take while queued work was laid over them. They only fill up, so demand
  * that needs as much room for as long, and may wait no longer, cannot be taken either.
  */
-final class RefusedDemand {
-    private record Rules(List<String> types, String zone, boolean spot, boolean gang, boolean plainOnly) {
+final class UnplaceableDemand {
+    private record Rules(List<String> types, String zone, boolean spot, boolean gang, boolean cpuOnly) {
         static Rules of(JobSpec spec, boolean plainOnly) {
-            return new Rules(spec.types(), spec.zone(), spec.spot(), spec.gang(), plainOnly);
+            return new Rules(spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.isGang(), plainOnly);
         }
     }
 
@@ -28,9 +28,9 @@
     private final Map<Rules, List<Demand>> refused = new HashMap<>();
 
     /** Whether it is known already that none of it can be taken. */
-    boolean covers(JobSpec spec, double expectedS, double horizonS, boolean plainOnly) {
-        Demand demand = new Demand(spec.need(), expectedS, horizonS);
-        for (Demand less : refused.getOrDefault(Rules.of(spec, plainOnly), List.of())) {
+    boolean covers(JobSpec spec, double expectedS, double horizonS, boolean cpuOnly) {
+        Demand demand = new Demand(spec.request(), expectedS, horizonS);
+        for (Demand less : refused.getOrDefault(Rules.of(spec, cpuOnly), List.of())) {
             if (less.within(demand)) {
                 return true;
             }
@@ -39,9 +39,9 @@
     }
 
     /** None of it could be taken. */
-    void add(JobSpec spec, double expectedS, double horizonS, boolean plainOnly) {
-        Demand demand = new Demand(spec.need(), expectedS, horizonS);
-        List<Demand> known = refused.computeIfAbsent(Rules.of(spec, plainOnly), rules -> new ArrayList<>());
+    void add(JobSpec spec, double expectedS, double horizonS, boolean cpuOnly) {
+        Demand demand = new Demand(spec.request(), expectedS, horizonS);
+        List<Demand> known = refused.computeIfAbsent(Rules.of(spec, cpuOnly), rules -> new ArrayList<>());
         known.removeIf(demand::within);
         known.add(demand);
     }
--- a/src/main/java/org/mountlug/core/zone/DisplacementOrder.java
+++ b/src/main/java/org/mountlug/core/zone/DisplacementOrder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 import org.mountlug.core.model.Job;
-import org.mountlug.core.model.Urgency;
+import org.mountlug.core.model.Priority;
 
 /**
  * The total order in which waiting work is placed, rented for and given room by preemption while a zone is lost or returning:
@@ -26,16 +26,19 @@
 
     /** The rank of a job's class or priority, the first one 0: nothing of a later level goes ahead of an earlier one. */
     public int level(Job job) {
-        int named = classes.indexOf(job.spec.lane());
+        int named = classes.indexOf(job.spec.jobClass());
         if (named >= 0) {
             return named;
         }
-        return classes.size() + Urgency.values().length - 1 - job.spec.urgency().ordinal();
+        return classes.size()
+                + Priority.values().length
+                - 1
+                - job.spec.priority().ordinal();
     }
 
     /** Whether a job is urgent enough for machines to be rented for it at once, however long the zone may stay away. */
-    static boolean urgent(Job job, List<String> classes) {
-        return classes.contains(job.spec.lane()) || job.spec.urgency().compareTo(Urgency.HIGH) >= 0;
+    static boolean isUrgent(Job job, List<String> classes) {
+        return classes.contains(job.spec.jobClass()) || job.spec.priority().compareTo(Priority.HIGH) >= 0;
     }
 
     @Override
--- a/src/main/java/org/mountlug/core/zone/HomewardMoves.java
+++ b/src/main/java/org/mountlug/core/zone/FailbackPlanner.java
@@ -9,44 +9,44 @@
 import org.mountlug.core.cluster.Machine;
 import org.mountlug.core.model.JobSpec;
 import org.mountlug.core.model.Placement;
+import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.model.Urgency;
 
 /**
  * Empties substitutes into a returning zone where that is cheap and pays: all that runs on the substitute can be stopped
  * without loss, an idle machine of the zone takes it, and what is saved on the substitute's price is more than the move
  * costs. Whatever else runs elsewhere ends there.
  */
-final class HomewardMoves {
+final class FailbackPlanner {
     private static final double S_PER_HOUR = 3600;
 
     private final Cluster cluster;
     /** Machines that are being emptied, by the zone for which. */
     private final Map<Machine, String> vacating = new HashMap<>();
 
-    HomewardMoves(Cluster cluster) {
+    FailbackPlanner(Cluster cluster) {
         this.cluster = cluster;
     }
 
     /** Chooses substitutes to be emptied, as many at a time as the ramp of the zone allows. */
-    void choose(String zone, ZoneTracker tracker, double nowS) {
+    void planMoves(String zone, ZoneTracker tracker, double nowS) {
         vacating.keySet().removeIf(machine -> cluster.machines.get(machine.name) != machine);
-        int most = Math.max(1, (int) (tracker.ramp().window() * Constants.Zones.MOVES_SHARE));
+        int most = Math.max(1, (int) (tracker.ramp().window() * Constants.Zones.CONCURRENT_MOVES_SHARE));
         Set<Machine> taken = new HashSet<>();
         for (Machine machine : cluster.machines.values()) {
             if (vacating.size() >= most) {
                 return;
             }
-            boolean candidate = machine.usable() && !machine.empty() && machine.strays.isEmpty();
-            if (!candidate || !SubstituteMachines.replaces(machine, zone, tracker)) {
+            boolean candidate = machine.isSchedulable() && !machine.isEmpty() && machine.orphans.isEmpty();
+            if (!candidate || !SubstituteMachines.isSubstitute(machine, zone, tracker)) {
                 continue;
             }
             Machine home = home(machine, zone, taken, nowS);
             if (home != null) {
                 taken.add(home);
                 vacating.put(machine, zone);
-                machine.vacating = true;
-                cluster.event("vacating, its work moves back to " + zone, machine.name);
+                machine.draining = true;
+                cluster.addEvent("vacating, its work moves back to " + zone, machine.name);
             }
         }
     }
@@ -55,7 +55,7 @@
     void cancel(String zone) {
         vacating.entrySet().removeIf(entry -> {
             if (entry.getValue().equals(zone)) {
-                entry.getKey().vacating = false;
+                entry.getKey().draining = false;
                 return true;
             }
             return false;
@@ -66,22 +66,22 @@
         double leftS = 0;
         double moveS = 0;
         Resources needed = Resources.ZERO;
-        for (Placement placement : substitute.placed.values()) {
+        for (Placement placement : substitute.placements.values()) {
             if (!movable(placement)) {
                 return null;
             }
             leftS = Math.max(leftS, leftS(placement, nowS));
             moveS = Math.max(moveS, moveS(placement, substitute));
-            needed = needed.plus(placement.job.spec.need());
+            needed = needed.plus(placement.job.spec.request());
         }
-        if (leftS < Constants.Zones.MOVE_LEAST_S) {
+        if (leftS < Constants.Zones.MIN_MOVE_REMAINING_S) {
             return null;
         }
         for (Machine machine : cluster.machines.values()) {
-            boolean idle = zone.equals(machine.zone) && machine.usable() && machine.empty();
+            boolean idle = zone.equals(machine.zone) && machine.isSchedulable() && machine.isEmpty();
             if (idle
                     && !taken.contains(machine)
-                    && needed.fitsIn(machine.type.size())
+                    && needed.fitsIn(machine.type.capacity())
                     && allowsAll(machine, substitute)
                     && gain(substitute, machine, leftS, moveS) > 0) {
                 return machine;
@@ -93,26 +93,31 @@
     /** Whether a task can be stopped at little cost, and its job's rules of place let it move by itself. */
     private static boolean movable(Placement placement) {
         JobSpec spec = placement.job.spec;
-        boolean cheap = spec.service() || spec.checkpointS() > 0 || spec.urgency() == Urgency.IDLE;
-        return cheap && !spec.gang() && !spec.oneZone() && !spec.apart() && !placement.stopping && !placement.standby;
+        boolean cheap = spec.isService() || spec.checkpointIntervalS() > 0 || spec.priority() == Priority.IDLE;
+        return cheap
+                && !spec.isGang()
+                && !spec.oneZone()
+                && !spec.spreadAcrossZones()
+                && !placement.stopping
+                && !placement.standby;
     }
 
     private double leftS(Placement placement, double nowS) {
-        if (placement.job.spec.service()) {
-            return Constants.SERVICE_PAID_S;
+        if (placement.job.spec.isService()) {
+            return Constants.ASSUMED_SERVICE_RENTAL_S;
         }
-        double ranS = Double.isNaN(placement.runningS) ? 0 : nowS - placement.runningS;
-        return cluster.expectedS(placement.job) - ranS;
+        double ranS = Double.isNaN(placement.runningSinceS) ? 0 : nowS - placement.runningSinceS;
+        return cluster.expectedRunS(placement.job) - ranS;
     }
 
     private static double moveS(Placement placement, Machine substitute) {
         JobSpec spec = placement.job.spec;
         double fetchS = spec.imageGb() / Math.max(0.01, substitute.type.fetchGbPerS());
-        return spec.saveS() + fetchS + Constants.Zones.MOVE_OVERHEAD_S;
+        return spec.checkpointSaveS() + fetchS + Constants.Zones.MOVE_OVERHEAD_S;
     }
 
     private static boolean allowsAll(Machine home, Machine substitute) {
-        for (Placement placement : substitute.placed.values()) {
+        for (Placement placement : substitute.placements.values()) {
             if (!placement.job.spec.allows(home.type.name(), home.zone, home.spot)) {
                 return false;
             }
@@ -122,8 +127,9 @@
 
     /** What the move saves, in money. */
     private static double gain(Machine substitute, Machine home, double leftS, double moveS) {
-        double stays = substitute.type.price(substitute.spot) * leftS;
-        double moves = home.type.price(home.spot) * (leftS + moveS) + substitute.type.price(substitute.spot) * moveS;
+        double stays = substitute.type.pricePerHour(substitute.spot) * leftS;
+        double moves = home.type.pricePerHour(home.spot) * (leftS + moveS)
+                + substitute.type.pricePerHour(substitute.spot) * moveS;
         return (stays - moves) / S_PER_HOUR;
     }
 }
--- a/src/main/java/org/mountlug/core/zone/RampLimits.java
+++ b/src/main/java/org/mountlug/core/zone/RampSettings.java
@@ -9,10 +9,10 @@
  * @param growShare by how much that grows each second in which nothing fails
  * @param downloadsShare image downloads that may be under way at the same time
  */
-public record RampLimits(double startShare, double growShare, double downloadsShare) {
+public record RampSettings(double startShare, double growShare, double downloadsShare) {
     /** The values in force without a setting. */
-    public static RampLimits defaults() {
-        return new RampLimits(
+    public static RampSettings defaults() {
+        return new RampSettings(
                 Constants.Zones.RAMP_START_SHARE, Constants.Zones.RAMP_GROW_SHARE, Constants.Zones.DOWNLOADS_SHARE);
     }
 
--- a/src/main/java/org/mountlug/core/zone/ReturnRamp.java
+++ b/src/main/java/org/mountlug/core/zone/ReturnRamp.java
@@ -8,7 +8,7 @@
  * multiplicative decrease), so a zone that takes work well is full again within seconds and one that does not gets little.
  */
 final class ReturnRamp {
-    private final RampLimits limits;
+    private final RampSettings limits;
     private double window;
     /** Machines heard in the zone when it was last looked at, which bound the window. */
     private int machines;
@@ -18,15 +18,15 @@
     private ZoneStarts before;
 
     /** A ramp that an earlier leader had taken to this window, in a zone with so many machines. */
-    ReturnRamp(RampLimits limits, double window, int machines) {
+    ReturnRamp(RampSettings limits, double window, int machines) {
         this.limits = limits;
         this.window = window;
         this.machines = Math.max(1, machines);
     }
 
     /** A ramp at its beginning for a zone with so many machines heard, and its starts as of now. */
-    static ReturnRamp begin(RampLimits limits, int heard, ZoneStarts starts) {
-        ReturnRamp ramp = new ReturnRamp(limits, RampLimits.atLeastOne(limits.startShare(), heard), heard);
+    static ReturnRamp start(RampSettings limits, int heard, ZoneStarts starts) {
+        ReturnRamp ramp = new ReturnRamp(limits, RampSettings.atLeastOne(limits.startShare(), heard), heard);
         ramp.before = starts;
         return ramp;
     }
@@ -34,18 +34,18 @@
     /**
      * Takes in what has happened since the last step, at most once a second.
      *
-     * @param settled whether this leader knows of all machines, so that fewer heard than before are fewer indeed
+     * @param allMachinesKnown whether this leader knows of all machines, so that fewer heard than before are fewer indeed
      */
-    void step(ZoneCounts counts, ZoneStarts starts, boolean settled, double nowS) {
+    void step(ZoneCounts counts, ZoneStarts starts, boolean allMachinesKnown, double nowS) {
         if (nowS < nextStepS) {
             return;
         }
         nextStepS = nowS + Constants.Zones.RAMP_STEP_S;
-        machines = Math.max(settled ? 1 : machines, counts.heard());
+        machines = Math.max(allMachinesKnown ? 1 : machines, counts.reporting());
         if (fails(counts, starts)) {
             window = Math.max(1, window / 2);
         } else if (gainsGround(starts)) {
-            window += RampLimits.atLeastOne(limits.growShare(), machines);
+            window += RampSettings.atLeastOne(limits.growShare(), machines);
         }
         window = Math.min(window, machines);
         before = starts;
@@ -53,12 +53,12 @@
 
     private boolean fails(ZoneCounts counts, ZoneStarts starts) {
         boolean lostStart = before != null && starts.lost() > before.lost();
-        return lostStart || counts.manyQuiet(Constants.Zones.RAMP_QUIET_SHARE);
+        return lostStart || counts.hasManyLate(Constants.Zones.RAMP_QUIET_SHARE);
     }
 
     /** Whether starts succeed, or there are none that could fail. */
     private boolean gainsGround(ZoneStarts starts) {
-        return before != null && (starts.succeeded() > before.succeeded() || starts.underWay() == 0);
+        return before != null && (starts.succeeded() > before.succeeded() || starts.inProgress() == 0);
     }
 
     /** Starts that may be under way. */
@@ -67,12 +67,12 @@
     }
 
     /** Whether it holds nothing back any more. */
-    boolean full() {
+    boolean isFull() {
         return window >= machines;
     }
 
     /** Image downloads that may be under way. */
-    int downloads() {
-        return RampLimits.atLeastOne(limits.downloadsShare(), machines);
+    int maxDownloads() {
+        return RampSettings.atLeastOne(limits.downloadsShare(), machines);
     }
 }
--- a/src/main/java/org/mountlug/core/zone/SubstituteMachines.java
+++ b/src/main/java/org/mountlug/core/zone/SubstituteMachines.java
@@ -17,38 +17,38 @@
     }
 
     /** Whether a machine was rented elsewhere while this zone was away. */
-    static boolean replaces(Machine machine, String zone, ZoneTracker tracker) {
+    static boolean isSubstitute(Machine machine, String zone, ZoneTracker tracker) {
         if (machine.zone == null || machine.zone.equals(zone) || tracker.state() == ZoneState.PRESENT) {
             return false;
         }
-        boolean sinceTrouble = machine.rentedS >= tracker.troubleS();
-        return sinceTrouble && (tracker.state() != ZoneState.RETURNING || machine.rentedS <= tracker.sinceS());
+        boolean sinceTrouble = machine.rentedS >= tracker.absentSinceS();
+        return sinceTrouble && (tracker.state() != ZoneState.RETURNING || machine.rentedS <= tracker.stateSinceS());
     }
 
     /**
      * How many more substitutes may be rented for work that is not urgent; without limit once the loss has lasted. A zone is often back before a machine has booted,
      * so only a part of its machines is replaced at once, and the rest as the loss lasts.
      */
-    int rentable(String zone, ZoneTracker tracker, double nowS) {
-        double awayS = nowS - tracker.troubleS();
-        double share = Constants.Zones.SUBSTITUTES_AT_ONCE + awayS / Constants.Zones.SUBSTITUTES_PACE_S;
+    int maxRentals(String zone, ZoneTracker tracker, double nowS) {
+        double awayS = nowS - tracker.absentSinceS();
+        double share = Constants.Zones.IMMEDIATE_SUBSTITUTE_SHARE + awayS / Constants.Zones.FULL_SUBSTITUTION_S;
         if (share >= 1) {
             return Integer.MAX_VALUE;
         }
-        int allowed = (int) Math.ceil(share * tracker.displaced());
+        int allowed = (int) Math.ceil(share * tracker.maxSilentMachines());
         int rented = 0;
         for (Machine machine : cluster.machines.values()) {
-            rented += replaces(machine, zone, tracker) ? 1 : 0;
+            rented += isSubstitute(machine, zone, tracker) ? 1 : 0;
         }
         return Math.max(0, allowed - rented);
     }
 
     /** How many idle substitutes may be returned in a round while zones return; without limit if none does. */
-    static int returnable(Collection<ZoneTracker> trackers) {
+    static int maxReturns(Collection<ZoneTracker> trackers) {
         int most = Integer.MAX_VALUE;
         for (ZoneTracker tracker : trackers) {
             if (tracker.ramp() != null) {
-                double pace = tracker.ramp().window() * Constants.Zones.SUBSTITUTES_RETURNED_SHARE;
+                double pace = tracker.ramp().window() * Constants.Zones.SUBSTITUTE_RETURN_SHARE;
                 most = Math.min(most, Math.max(1, (int) Math.ceil(pace)));
             }
         }
--- a/src/main/java/org/mountlug/core/zone/ZoneEvidence.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneEvidence.java
@@ -7,11 +7,11 @@
     /** Neither silent for long enough nor heard again, as in the first seconds of a leader's term. */
     UNDECIDED,
     /** Nearly all machines are heard. */
-    HEARD,
+    REPORTING,
     /** Some are silent, fewer than make a zone suspect. */
-    MIXED,
-    /** Most are silent, or all are but more than this zone is silent, so that the fault may be the leader's own. */
     PARTLY_SILENT,
+    /** Most are silent, or all are but more than this zone is silent, so that the fault may be the leader's own. */
+    MOSTLY_SILENT,
     /** The zone as a whole is silent, and it alone. */
     SILENT;
 
@@ -22,18 +22,18 @@
      */
     public static ZoneEvidence of(ZoneCounts counts, boolean attributable, ZoneThresholds thresholds) {
         int machines = counts.machines();
-        if (machines < thresholds.leastMachines()) {
+        if (machines < thresholds.minMachines()) {
             return TOO_FEW;
         }
         if (counts.silent() >= machines * thresholds.lostShare()) {
-            return attributable ? SILENT : PARTLY_SILENT;
+            return attributable ? SILENT : MOSTLY_SILENT;
         }
         if (counts.silent() > machines * thresholds.suspectShare()) {
-            return PARTLY_SILENT;
+            return MOSTLY_SILENT;
         }
-        if (counts.heard() < machines * thresholds.returnShare()) {
+        if (counts.reporting() < machines * thresholds.returnShare()) {
             return UNDECIDED;
         }
-        return counts.silent() > machines * thresholds.clearShare() ? MIXED : HEARD;
+        return counts.silent() > machines * thresholds.clearShare() ? PARTLY_SILENT : REPORTING;
     }
 }
--- a/src/main/java/org/mountlug/core/zone/ZoneCensus.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneMachineCounter.java
@@ -9,12 +9,12 @@
 import org.mountlug.core.cluster.Machine;
 
 /** Counts the machines of each zone by their silence: the one place where silence is looked at zone by zone. */
-final class ZoneCensus {
+final class ZoneMachineCounter {
     private final Cluster cluster;
     private final double leaseS;
     private final double reportS;
 
-    ZoneCensus(Cluster cluster, double leaseS, double reportS) {
+    ZoneMachineCounter(Cluster cluster, double leaseS, double reportS) {
         this.cluster = cluster;
         this.leaseS = leaseS;
         this.reportS = reportS;
@@ -24,7 +24,7 @@
     Map<String, ZoneCounts> count(double nowS) {
         Map<String, Tally> zones = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
-            if (machine.cameUp() && !machine.unlisted && machine.zone != null) {
+            if (machine.hasBooted() && !machine.unlisted && machine.zone != null) {
                 zones.computeIfAbsent(machine.zone, zone -> new Tally()).add(machine, nowS);
             }
         }
@@ -34,10 +34,10 @@
     }
 
     /** Zones in which more machines are quiet than fail by themselves: there it is the network, or we. */
-    Set<String> quiet(double nowS) {
+    Set<String> lateZones(double nowS) {
         Set<String> quiet = new HashSet<>();
         count(nowS).forEach((zone, counts) -> {
-            if (counts.manyQuiet(Constants.REPLICAS_SILENT_SHARE)) {
+            if (counts.hasManyLate(Constants.REPLICA_SILENCE_MAX_SHARE)) {
                 quiet.add(zone);
             }
         });
@@ -45,10 +45,10 @@
     }
 
     /** Zones most of whose machines are silent. */
-    Set<String> mostlySilent(ZoneThresholds thresholds, double nowS) {
+    Set<String> mostlySilentZones(ZoneThresholds thresholds, double nowS) {
         Set<String> silent = new HashSet<>();
         count(nowS).forEach((zone, counts) -> {
-            if (counts.mostSilent(thresholds)) {
+            if (counts.isMostlySilent(thresholds)) {
                 silent.add(zone);
             }
         });
@@ -58,28 +58,30 @@
     /** The running counts of one zone. */
     private final class Tally {
         private int machines;
+        private int everReported;
         private int reporting;
-        private int heard;
-        private int quiet;
+        private int late;
         private int silent;
 
         void add(Machine machine, double nowS) {
             machines++;
-            reporting += machine.up ? 1 : 0;
+            everReported += machine.hasReported ? 1 : 0;
             double silentS = cluster.silentS(machine, nowS);
             if (silentS > leaseS) {
                 silent++;
-            } else if (machine.up && nowS - machine.heardS <= leaseS && cluster.heardInTerm(machine)) {
-                heard++;
+            } else if (machine.hasReported
+                    && nowS - machine.lastReportS <= leaseS
+                    && cluster.hasReportedSinceListening(machine)) {
+                reporting++;
             }
             // Half the time already tells: what falls silent together does so within a report interval.
-            if (machine.up && silentS > reportS * Constants.REPLICAS_SILENT_REPORTS / 2) {
-                quiet++;
+            if (machine.hasReported && silentS > reportS * Constants.REPLICA_SILENCE_INTERVALS / 2) {
+                late++;
             }
         }
 
         ZoneCounts counts() {
-            return new ZoneCounts(machines, reporting, heard, quiet, silent);
+            return new ZoneCounts(machines, everReported, reporting, late, silent);
         }
     }
 }
--- a/src/main/java/org/mountlug/core/zone/ZoneWatch.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneMonitor.java
@@ -20,13 +20,13 @@
  * The zones of one leader's term: their states, and what follows from these for placing, renting, returning and moving. With
  * tracking disabled a zone is judged by its silence of the moment, and nothing follows but that nothing is rented there.
  */
-public final class ZoneWatch {
+public final class ZoneMonitor {
     private final Cluster cluster;
     private final ZoneSettings settings;
     private final double leaseS;
-    private final ZoneCensus census;
+    private final ZoneMachineCounter counter;
     private final SubstituteMachines substitutes;
-    private final HomewardMoves moves;
+    private final FailbackPlanner failback;
     private final Map<String, ZoneTracker> trackers = new TreeMap<>();
     private final List<String> transitions = new ArrayList<>();
     private Map<String, ZoneCounts> counts = Map.of();
@@ -36,13 +36,13 @@
     private record UnderWay(int starts, int downloads) {}
 
     /** Watches the zones of this cluster's machines. */
-    public ZoneWatch(Cluster cluster, ZoneSettings settings, double leaseS, double reportS) {
+    public ZoneMonitor(Cluster cluster, ZoneSettings settings, double leaseS, double reportS) {
         this.cluster = cluster;
         this.settings = settings;
         this.leaseS = leaseS;
-        census = new ZoneCensus(cluster, leaseS, reportS);
+        counter = new ZoneMachineCounter(cluster, leaseS, reportS);
         substitutes = new SubstituteMachines(cluster);
-        moves = new HomewardMoves(cluster);
+        failback = new FailbackPlanner(cluster);
     }
 
     /** Whether zones are tracked. */
@@ -64,7 +64,7 @@
     public List<ZoneSnapshot> snapshots(double nowS) {
         List<ZoneSnapshot> snapshots = new ArrayList<>();
         for (ZoneTracker tracker : trackers.values()) {
-            if (tracker.worthKeeping()) {
+            if (tracker.needsSnapshot()) {
                 snapshots.add(tracker.snapshot(nowS));
             }
         }
@@ -74,18 +74,18 @@
     /**
      * Looks at all zones, once a round.
      *
-     * @param reportsElsewhere workers' reports that have lately come to other controllers: those workers are not cut off
+     * @param peerReportCount workers' reports that have lately come to other controllers: those workers are not cut off
      */
-    public void observe(int reportsElsewhere, double nowS) {
+    public void observe(int peerReportCount, double nowS) {
         if (!settings.enabled()) {
             return;
         }
-        counts = census.count(nowS);
+        counts = counter.count(nowS);
         for (String zone : counts.keySet()) {
             trackers.computeIfAbsent(zone, name -> new ZoneTracker(name, settings.thresholds(), settings.ramp(), nowS));
         }
         underWay.clear();
-        boolean attributable = attributable(reportsElsewhere);
+        boolean attributable = attributable(peerReportCount);
         for (Map.Entry<String, ZoneTracker> entry : trackers.entrySet()) {
             observe(entry.getKey(), entry.getValue(), attributable, nowS);
         }
@@ -93,38 +93,38 @@
     }
 
     private void markMachines(double nowS) {
-        Set<String> held = budgets().keySet();
+        Set<String> held = startBudgets().keySet();
         for (Machine machine : cluster.machines.values()) {
             if (machine.zone == null) {
                 continue;
             }
-            machine.zoneHeldBack = held.contains(machine.zone) || !admits(machine.zone);
+            machine.zoneRestricted = held.contains(machine.zone) || !acceptsWork(machine.zone);
             boolean away = state(machine.zone) != ZoneState.PRESENT;
             if (away && cluster.silentS(machine, nowS) > leaseS) {
-                machine.forgiveUnheard(nowS);
+                machine.resetOutOfContact(nowS);
             }
         }
     }
 
     private void observe(String zone, ZoneTracker tracker, boolean attributable, double nowS) {
         ZoneCounts count = counts(zone);
-        boolean settled = cluster.hearingFor(nowS) > leaseS;
-        boolean unknown = !settled && count.machines() < tracker.machinesToExpect();
+        boolean allMachinesKnown = cluster.listeningForS(nowS) > leaseS;
+        boolean unknown = !allMachinesKnown && count.machines() < tracker.minMachinesToJudge();
         ZoneEvidence evidence =
                 unknown ? ZoneEvidence.UNDECIDED : ZoneEvidence.of(count, attributable, settings.thresholds());
         ZoneStarts starts = new ZoneStarts(
-                cluster.starts().succeeded(zone),
-                cluster.starts().lost(zone),
+                cluster.startCounts().succeeded(zone),
+                cluster.startCounts().lost(zone),
                 tracker.ramp() == null ? 0 : underWay(zone).starts());
         ZoneState before = tracker.state();
-        if (!tracker.observe(evidence, count, starts, settled, nowS)) {
+        if (!tracker.observe(evidence, count, starts, allMachinesKnown, nowS)) {
             return;
         }
         transitions.add("zone " + zone + ": " + before + " -> " + tracker.state() + ", " + count.silent() + " of "
-                + count.machines() + " machines silent, " + count.heard() + " heard, " + tracker.losses()
+                + count.machines() + " machines silent, " + count.reporting() + " heard, " + tracker.recentLosses()
                 + " recent losses");
         if (tracker.state() == ZoneState.LOST) {
-            moves.cancel(zone);
+            failback.cancel(zone);
         }
     }
 
@@ -132,17 +132,17 @@
      * Whether silence can be a zone's own. Where all zones are silent, or other controllers hear as many workers as are
      * silent here, it is more likely this controller that does not hear.
      */
-    private boolean attributable(int reportsElsewhere) {
+    private boolean attributable(int peerReportCount) {
         int judged = 0;
         int mostlySilent = 0;
         int silentMachines = 0;
         for (ZoneCounts count : counts.values()) {
-            judged += count.machines() >= settings.thresholds().leastMachines() ? 1 : 0;
-            mostlySilent += count.mostSilent(settings.thresholds()) ? 1 : 0;
+            judged += count.machines() >= settings.thresholds().minMachines() ? 1 : 0;
+            mostlySilent += count.isMostlySilent(settings.thresholds()) ? 1 : 0;
             silentMachines += count.silent();
         }
         boolean allSilent = judged > 1 && mostlySilent == judged;
-        boolean heardByPeers = reportsElsewhere > silentMachines * Constants.Zones.PEERS_HEAR_SHARE;
+        boolean heardByPeers = peerReportCount > silentMachines * Constants.Zones.PEER_REPORT_SHARE;
         return !allSilent && !heardByPeers;
     }
 
@@ -162,12 +162,12 @@
                 continue;
             }
             Set<String> fetching = new HashSet<>();
-            for (Placement placement : machine.placed.values()) {
-                if (!Double.isNaN(placement.runningS) || placement.standby || placement.stopping) {
+            for (Placement placement : machine.placements.values()) {
+                if (!Double.isNaN(placement.runningSinceS) || placement.standby || placement.stopping) {
                     continue;
                 }
                 starts++;
-                if (!machine.images.contains(placement.job.spec.image())) {
+                if (!machine.cachedImages.contains(placement.job.spec.image())) {
                     fetching.add(placement.job.spec.image());
                 }
             }
@@ -194,15 +194,15 @@
         List<ZoneStatus> status = new ArrayList<>();
         trackers.forEach((zone, tracker) -> {
             double window = tracker.ramp() == null ? 0 : tracker.ramp().window();
-            status.add(new ZoneStatus(zone, tracker.state(), counts(zone), tracker.losses(), window));
+            status.add(new ZoneStatus(zone, tracker.state(), counts(zone), tracker.recentLosses(), window));
         });
         return status;
     }
 
     /** Zones whose silent machines are worth waiting for. */
-    public Set<String> disturbed(double nowS) {
+    public Set<String> disturbedZones(double nowS) {
         if (!settings.enabled()) {
-            return census.mostlySilent(settings.thresholds(), nowS);
+            return counter.mostlySilentZones(settings.thresholds(), nowS);
         }
         Set<String> disturbed = new HashSet<>();
         trackers.forEach((zone, tracker) -> {
@@ -214,50 +214,50 @@
     }
 
     /** Zones in which nothing is rented: those that are not present, or where there is no other, mostly silent. */
-    public Set<String> barred(double nowS) {
-        Set<String> barred = disturbed(nowS);
+    public Set<String> closedZones(double nowS) {
+        Set<String> barred = disturbedZones(nowS);
         if (settings.enabled()) {
-            barred.removeIf(zone -> !hasAlternative(zone) && !counts(zone).mostSilent(settings.thresholds()));
+            barred.removeIf(zone -> !hasAlternative(zone) && !counts(zone).isMostlySilent(settings.thresholds()));
         }
         return barred;
     }
 
     /** Zones in which more machines are quiet than fail by themselves. */
-    public Set<String> quiet(double nowS) {
-        return census.quiet(nowS);
+    public Set<String> lateZones(double nowS) {
+        return counter.lateZones(nowS);
     }
 
     /** The order of all waiting work while some zone is not present, else null: then teams' queues decide. */
-    public DisplacementOrder order(ToDoubleFunction<Job> dueOrder) {
+    public DisplacementOrder displacementOrder(ToDoubleFunction<Job> dueOrder) {
         for (ZoneTracker tracker : trackers.values()) {
             if (tracker.state() != ZoneState.PRESENT) {
-                return new DisplacementOrder(settings.displacement(), dueOrder);
+                return new DisplacementOrder(settings.displacementClasses(), dueOrder);
             }
         }
         return null;
     }
 
     /** Whether machines are rented for a job at once, however long a lost zone may stay away. */
-    public boolean urgent(Job job) {
-        return DisplacementOrder.urgent(job, settings.displacement());
+    public boolean isUrgent(Job job) {
+        return DisplacementOrder.isUrgent(job, settings.displacementClasses());
     }
 
     /** Whether new work may go to this zone; a lost one gets none as long as there is any other. */
-    public boolean admits(String zone) {
+    public boolean acceptsWork(String zone) {
         return state(zone) != ZoneState.LOST || !hasAlternative(zone);
     }
 
     /** How many starts this round may place in each zone that returns; zones without a limit are left out. */
-    public Map<String, StartBudget> budgets() {
+    public Map<String, StartBudget> startBudgets() {
         Map<String, StartBudget> budgets = new HashMap<>();
         trackers.forEach((zone, tracker) -> {
             ReturnRamp ramp = tracker.ramp();
-            if (ramp == null || ramp.full() || !hasAlternative(zone)) {
+            if (ramp == null || ramp.isFull() || !hasAlternative(zone)) {
                 return;
             }
             UnderWay now = underWay(zone);
             int starts = (int) ramp.window() - now.starts();
-            int downloads = ramp.downloads() - now.downloads();
+            int downloads = ramp.maxDownloads() - now.downloads();
             budgets.put(zone, new StartBudget(Math.min(starts, downloads)));
         });
         return budgets;
@@ -276,9 +276,9 @@
     }
 
     /** Whether a machine was rented in place of one in a zone that is still away or returning. */
-    public boolean substitute(Machine machine) {
+    public boolean isSubstitute(Machine machine) {
         for (Map.Entry<String, ZoneTracker> entry : trackers.entrySet()) {
-            if (SubstituteMachines.replaces(machine, entry.getKey(), entry.getValue())) {
+            if (SubstituteMachines.isSubstitute(machine, entry.getKey(), entry.getValue())) {
                 return true;
             }
         }
@@ -286,27 +286,27 @@
     }
 
     /** How many machines may be rented now for work that is not urgent; without limit if no zone is newly away. */
-    public int rentable(double nowS) {
+    public int maxDeferrableRentals(double nowS) {
         int most = Integer.MAX_VALUE;
         for (Map.Entry<String, ZoneTracker> entry : trackers.entrySet()) {
             ZoneState state = entry.getValue().state();
             if (state == ZoneState.SUSPECT || state == ZoneState.LOST) {
-                most = Math.min(most, substitutes.rentable(entry.getKey(), entry.getValue(), nowS));
+                most = Math.min(most, substitutes.maxRentals(entry.getKey(), entry.getValue(), nowS));
             }
         }
         return most;
     }
 
     /** How many idle substitutes may be returned in this round. */
-    public int returnable() {
-        return SubstituteMachines.returnable(trackers.values());
+    public int maxSubstituteReturns() {
+        return SubstituteMachines.maxReturns(trackers.values());
     }
 
     /** Chooses substitutes whose work moves back to zones that return. */
-    public void moveBack(double nowS) {
+    public void planFailback(double nowS) {
         trackers.forEach((zone, tracker) -> {
             if (tracker.ramp() != null) {
-                moves.choose(zone, tracker, nowS);
+                failback.planMoves(zone, tracker, nowS);
             }
         });
     }
--- a/src/main/java/org/mountlug/core/zone/ZoneStarts.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneStarts.java
@@ -5,6 +5,6 @@
  *
  * @param succeeded those that have succeeded since the leader's term began
  * @param lost those that came to nothing since then
- * @param underWay those that are under way now
+ * @param inProgress those that are under way now
  */
-record ZoneStarts(long succeeded, long lost, int underWay) {}
+record ZoneStarts(long succeeded, long lost, int inProgress) {}
--- a/src/main/java/org/mountlug/core/zone/ZoneThresholds.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneThresholds.java
@@ -5,26 +5,26 @@
 /**
  * When a zone's state changes. Shares are of the machines that have come up there.
  *
- * @param leastMachines machines below which a zone is not judged
+ * @param minMachines machines below which a zone is not judged
  * @param suspectShare share of silent machines above which a zone is suspect
  * @param lostShare share of silent machines from which the zone as a whole counts as silent
  * @param clearShare share of silent machines up to which a suspect zone is present again
  * @param returnShare share of heard machines from which a lost zone counts as heard
  * @param lostAfterS seconds for which a zone must be silent as a whole before it is lost
  * @param returnAfterS seconds for which a lost zone must be heard before it returns, after its first loss
- * @param returnAfterMostS the most seconds that repeated losses lengthen this to
- * @param calmS seconds without a loss after which one earlier loss is forgotten
+ * @param maxReturnAfterS the most seconds that repeated losses lengthen this to
+ * @param lossExpiryS seconds without a loss after which one earlier loss is forgotten
  */
 public record ZoneThresholds(
-        int leastMachines,
+        int minMachines,
         double suspectShare,
         double lostShare,
         double clearShare,
         double returnShare,
         double lostAfterS,
         double returnAfterS,
-        double returnAfterMostS,
-        double calmS) {
+        double maxReturnAfterS,
+        double lossExpiryS) {
     /** The values in force without a setting. */
     public static ZoneThresholds defaults() {
         return new ZoneThresholds(
--- a/src/main/java/org/mountlug/core/zone/ZoneTracker.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneTracker.java
@@ -9,60 +9,61 @@
 
     private final String zone;
     private final ZoneThresholds thresholds;
-    private final RampLimits limits;
+    private final RampSettings limits;
     private ZoneState state = ZoneState.PRESENT;
-    private double sinceS;
-    private double troubleS;
-    private int losses;
+    private double stateSinceS;
+    private double absentSinceS;
+    private int recentLosses;
     private double lossS;
-    private int displaced;
+    private int maxSilentMachines;
     private ReturnRamp ramp;
     private ZoneState pending;
     private double pendingSinceS;
 
-    ZoneTracker(String zone, ZoneThresholds thresholds, RampLimits limits, double nowS) {
+    ZoneTracker(String zone, ZoneThresholds thresholds, RampSettings limits, double nowS) {
         this.zone = zone;
         this.thresholds = thresholds;
         this.limits = limits;
-        sinceS = nowS;
+        stateSinceS = nowS;
         lossS = nowS;
     }
 
     /** Goes on where an earlier leader stopped. */
-    ZoneTracker(ZoneSnapshot stored, ZoneThresholds thresholds, RampLimits limits, double nowS) {
+    ZoneTracker(ZoneSnapshot stored, ZoneThresholds thresholds, RampSettings limits, double nowS) {
         this(stored.zone(), thresholds, limits, nowS);
         state = stored.state();
-        sinceS = nowS - stored.stateAgeS();
-        troubleS = nowS - stored.troubleAgeS();
-        losses = Math.min(LOSSES_MOST, Math.max(0, stored.losses()));
+        stateSinceS = nowS - stored.stateAgeS();
+        absentSinceS = nowS - stored.absentAgeS();
+        recentLosses = Math.min(LOSSES_MOST, Math.max(0, stored.recentLosses()));
         lossS = nowS - stored.lossAgeS();
-        displaced = stored.displaced();
+        maxSilentMachines = stored.maxSilentMachines();
         if (state == ZoneState.RETURNING) {
-            ramp = new ReturnRamp(limits, Math.max(1, stored.window()), displaced);
+            ramp = new ReturnRamp(limits, Math.max(1, stored.window()), maxSilentMachines);
         }
     }
 
     /** Machines without which a leader that has just begun cannot judge the zone, as it has yet to hear of the others. */
-    int machinesToExpect() {
-        double known = state == ZoneState.PRESENT ? 0 : displaced * thresholds.returnShare();
-        return Math.max(thresholds.leastMachines(), (int) Math.ceil(known));
+    int minMachinesToJudge() {
+        double known = state == ZoneState.PRESENT ? 0 : maxSilentMachines * thresholds.returnShare();
+        return Math.max(thresholds.minMachines(), (int) Math.ceil(known));
     }
 
     /**
      * Takes in one look at the zone; returns whether its state has changed.
      *
-     * @param settled whether this leader has heard for long enough to know of all machines
+     * @param allMachinesKnown whether this leader has heard for long enough to know of all machines
      */
-    boolean observe(ZoneEvidence evidence, ZoneCounts counts, ZoneStarts starts, boolean settled, double nowS) {
+    boolean observe(
+            ZoneEvidence evidence, ZoneCounts counts, ZoneStarts starts, boolean allMachinesKnown, double nowS) {
         forgetLosses(nowS);
         if (state != ZoneState.PRESENT) {
-            displaced = Math.max(displaced, counts.silent());
+            maxSilentMachines = Math.max(maxSilentMachines, counts.silent());
         }
         if (ramp != null && evidence != ZoneEvidence.UNDECIDED) {
-            ramp.step(counts, starts, settled, nowS);
+            ramp.step(counts, starts, allMachinesKnown, nowS);
         }
         ZoneState next = ZoneTransitions.next(state, evidence);
-        if (state == ZoneState.RETURNING && evidence == ZoneEvidence.HEARD && !ramp.full()) {
+        if (state == ZoneState.RETURNING && evidence == ZoneEvidence.REPORTING && !ramp.isFull()) {
             next = ZoneState.RETURNING;
         }
         if (next == state) {
@@ -90,29 +91,29 @@
 
     /** Seconds for which the lost zone must be heard before it returns: doubled by each recent loss beyond the first. */
     double returnAfterS() {
-        double longer = thresholds.returnAfterS() * Math.pow(2, Math.max(0, losses - 1));
-        return Math.min(thresholds.returnAfterMostS(), longer);
+        double longer = thresholds.returnAfterS() * Math.pow(2, Math.max(0, recentLosses - 1));
+        return Math.min(thresholds.maxReturnAfterS(), longer);
     }
 
     private void enter(ZoneState next, ZoneCounts counts, ZoneStarts starts, double nowS) {
         if (state == ZoneState.PRESENT) {
-            troubleS = nowS;
-            displaced = counts.silent();
+            absentSinceS = nowS;
+            maxSilentMachines = counts.silent();
         }
         if (next == ZoneState.LOST) {
-            losses = Math.min(LOSSES_MOST, losses + 1);
+            recentLosses = Math.min(LOSSES_MOST, recentLosses + 1);
             lossS = nowS;
         }
-        ramp = next == ZoneState.RETURNING ? ReturnRamp.begin(limits, counts.heard(), starts) : null;
+        ramp = next == ZoneState.RETURNING ? ReturnRamp.start(limits, counts.reporting(), starts) : null;
         state = next;
-        sinceS = nowS;
+        stateSinceS = nowS;
         pending = null;
     }
 
     private void forgetLosses(double nowS) {
-        while (losses > 0 && state != ZoneState.LOST && nowS - lossS >= thresholds.calmS()) {
-            losses--;
-            lossS += thresholds.calmS();
+        while (recentLosses > 0 && state != ZoneState.LOST && nowS - lossS >= thresholds.lossExpiryS()) {
+            recentLosses--;
+            lossS += thresholds.lossExpiryS();
         }
     }
 
@@ -121,22 +122,22 @@
     }
 
     /** Steady seconds since when it is in its state. */
-    double sinceS() {
-        return sinceS;
+    double stateSinceS() {
+        return stateSinceS;
     }
 
     /** Steady seconds since when it has not been present; meaningless while it is. */
-    double troubleS() {
-        return troubleS;
+    double absentSinceS() {
+        return absentSinceS;
     }
 
-    int losses() {
-        return losses;
+    int recentLosses() {
+        return recentLosses;
     }
 
     /** The most machines that were silent in this trouble. */
-    int displaced() {
-        return displaced;
+    int maxSilentMachines() {
+        return maxSilentMachines;
     }
 
     /** The ramp of a returning zone, else null. */
@@ -145,19 +146,19 @@
     }
 
     /** Whether a later leader would act differently for knowing of this zone. */
-    boolean worthKeeping() {
-        return state != ZoneState.PRESENT || losses > 0;
+    boolean needsSnapshot() {
+        return state != ZoneState.PRESENT || recentLosses > 0;
     }
 
     ZoneSnapshot snapshot(double nowS) {
         return new ZoneSnapshot(
                 zone,
                 state,
-                losses,
-                nowS - sinceS,
-                state == ZoneState.PRESENT ? 0 : nowS - troubleS,
+                recentLosses,
+                nowS - stateSinceS,
+                state == ZoneState.PRESENT ? 0 : nowS - absentSinceS,
                 nowS - lossS,
-                displaced,
+                maxSilentMachines,
                 ramp == null ? 0 : ramp.window());
     }
 }
--- a/src/main/java/org/mountlug/node/AdmissionControl.java
+++ b/src/main/java/org/mountlug/node/AdmissionControl.java
@@ -11,7 +11,7 @@
     AdmissionDecision decide(JobSpec spec);
 
     /** Whether a cancellation may be carried out now; cancellations go ahead of submissions. */
-    boolean takeCancellation();
+    boolean tryAcquireCancellation();
 
     /** What was asked of each queue at this controller, for the leader. */
     List<QueueDemand> demand();
--- a/src/main/java/org/mountlug/node/AdmissionPublisher.java
+++ b/src/main/java/org/mountlug/node/AdmissionPublisher.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Map;
 import org.mountlug.Constants;
+import org.mountlug.core.admit.AdmissionCapacity;
 import org.mountlug.core.admit.AdmissionPlanner;
 import org.mountlug.core.admit.AdmissionTable;
-import org.mountlug.core.admit.ChangeBudget;
 import org.mountlug.core.admit.QueueDemand;
 import org.mountlug.settings.Settings;
 import org.mountlug.store.AdmissionCodec;
-import org.mountlug.store.Budget;
-import org.mountlug.store.Change;
 import org.mountlug.store.StateKeys;
+import org.mountlug.store.TokenBucket;
+import org.mountlug.store.Transaction;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.PooledHttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,9 +28,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionPublisher.class);
 
     private final LeaderTerm term;
-    private final Budget writes;
+    private final TokenBucket writes;
     private final AdmissionPlanner planner;
-    private final ChangeBudget budget;
+    private final AdmissionCapacity budget;
     private final AdmissionControl own;
     private final boolean enabled;
     private final Map<String, Long> revisions = new HashMap<>();
@@ -43,23 +43,23 @@
     /** Steady seconds at which the state service was last seen not to serve, or this term began. */
     private double unservedS;
 
-    AdmissionPublisher(LeaderTerm term, Budget writes, AdmissionControl own) {
+    AdmissionPublisher(LeaderTerm term, TokenBucket writes, AdmissionControl own) {
         this.term = term;
         this.writes = writes;
         this.own = own;
         this.unservedS = term.nowS();
         Settings settings = term.environment.settings();
         double changesPerS = settings.stateWriteRps();
-        budget = new ChangeBudget(changesPerS, changesPerS * Constants.LEADER_WRITE_SHARE);
+        budget = new AdmissionCapacity(changesPerS, changesPerS * Constants.LEADER_WRITE_SHARE);
         enabled = term.environment.operators().admission().enabled();
         planner = new AdmissionPlanner(
-                FairAdmission.weights(settings, term.environment.operators()),
-                settings.others().size() + 1);
+                FairShareAdmission.weights(settings, term.environment.operators()),
+                settings.peers().size() + 1);
     }
 
     /** Takes in what another controller was asked; {@code boot} names its process. */
-    void observe(String controller, long boot, List<QueueDemand> demand) {
-        planner.observe(controller, boot, demand, term.nowS());
+    void recordDemand(String controller, long boot, List<QueueDemand> demand) {
+        planner.observeDemand(controller, boot, demand, term.nowS());
     }
 
     /** Plans and publishes if it is time. */
@@ -71,34 +71,34 @@
             load();
             return;
         }
-        nextPlanS = nowS + Constants.Admission.PLAN_MS / 1000.0;
+        nextPlanS = nowS + Constants.Admission.PLAN_INTERVAL_MS / 1000.0;
         String label = term.environment.settings().label();
-        planner.observe(label, term.cluster.token(), own.demand(), nowS);
-        budget.observe(writes.taken(), limiting, nowS);
+        planner.observeDemand(label, term.cluster.token(), own.demand(), nowS);
+        budget.observeLeaderWrites(writes.totalAcquired(), limiting, nowS);
         AdmissionTable table = planner.plan(budget, servedForLong(nowS), nowMs(), nowS);
-        planner.takeTransitions().forEach(AdmissionPublisher::log);
-        if ((limiting || !table.schedules().isEmpty()) && term.proven(nowS)) {
+        planner.drainTransitions().forEach(AdmissionPublisher::log);
+        if ((limiting || !table.schedules().isEmpty()) && term.isLeaseHeld(nowS)) {
             publish(table, nowS);
         }
     }
 
     private boolean servedForLong(double nowS) {
-        if (!term.environment.state().served()) {
+        if (!term.environment.state().isServed()) {
             unservedS = nowS;
         }
-        return nowS - unservedS > Constants.Admission.OUTAGE_OVER_S;
+        return nowS - unservedS > Constants.Admission.OUTAGE_RECOVERY_S;
     }
 
     private long nowMs() {
         return term.environment.epochMs().getAsLong();
     }
 
-    private static void log(AdmissionPlanner.TeamTransition transition) {
+    private static void log(AdmissionPlanner.DeferralTransition transition) {
         LOG.info(
                 "submissions of team {} are {}: {} a second are asked, {} may be admitted",
                 transition.team(),
                 transition.deferred() ? "deferred" : "deferred no more",
-                Math.round(transition.askedPerS() * 10) / 10.0,
+                Math.round(transition.submissionsPerS() * 10) / 10.0,
                 Math.round(transition.admittedPerS() * 10) / 10.0);
     }
 
@@ -108,15 +108,15 @@
         call();
         term.environment.state().list(StateKeys.ADMISSION, null, answer -> {
             calling = false;
-            if (term.ended() || answer.status() != 200) {
+            if (term.hasEnded() || answer.status() != 200) {
                 return;
             }
             List<Map<String, Object>> records = new ArrayList<>();
             revisions.clear();
-            for (Object element : Fields.list(answer.body(), "rows")) {
-                Map<String, Object> row = Fields.map(element);
-                revisions.put(Fields.str(row, "k"), Fields.num(row, "stamp", 0));
-                records.add(Fields.map(row.get("v")));
+            for (Object element : Fields.getList(answer.body(), "rows")) {
+                Map<String, Object> row = Fields.asMap(element);
+                revisions.put(Fields.getString(row, "k"), Fields.getLong(row, "stamp", 0));
+                records.add(Fields.asMap(row.get("v")));
             }
             restore(AdmissionCodec.read(records));
             loaded = true;
@@ -125,7 +125,7 @@
 
     private void call() {
         calling = true;
-        nextPlanS = term.nowS() + Constants.Admission.PLAN_MS / 1000.0;
+        nextPlanS = term.nowS() + Constants.Admission.PLAN_INTERVAL_MS / 1000.0;
     }
 
     private void restore(AdmissionTable table) {
@@ -133,7 +133,7 @@
             return; // read again after a failed write: what this term has planned goes on
         }
         planner.restore(table, nowMs());
-        limiting = table.limits(nowMs());
+        limiting = table.limitsAnyQueue(nowMs());
         if (limiting) {
             budget.restore(table.capacityPerS(), term.nowS());
             LOG.info(
@@ -143,27 +143,27 @@
     }
 
     private void publish(AdmissionTable table, double nowS) {
-        List<Map<String, Object>> records = AdmissionCodec.write(table, term.valueChars());
+        List<Map<String, Object>> records = AdmissionCodec.write(table, term.maxValueChars());
         int written = Math.min(records.size(), term.environment.settings().txnOps());
-        Change change = term.change();
+        Transaction change = term.newFencedTransaction();
         for (int number = 0; number < written; number++) {
             String key = StateKeys.ADMISSION + number;
-            change.guard(key, revisions.getOrDefault(key, 0L)).put(key, records.get(number));
+            change.requireRevision(key, revisions.getOrDefault(key, 0L)).put(key, records.get(number));
         }
-        writes.spend(nowS, written);
+        writes.charge(nowS, written);
         call();
         term.environment.state().commit(change, answer -> {
             calling = false;
-            if (!term.ended()) {
+            if (!term.hasEnded()) {
                 published(answer, written, !table.schedules().isEmpty());
             }
         });
     }
 
-    private void published(Http.Answer answer, int written, boolean limits) {
+    private void published(PooledHttpClient.Response answer, int written, boolean limits) {
         limiting |= limits;
         if (answer.status() == 200) {
-            long revision = Fields.num(answer.body(), "epoch", 0);
+            long revision = Fields.getLong(answer.body(), "epoch", 0);
             for (int number = 0; number < written; number++) {
                 revisions.put(StateKeys.ADMISSION + number, revision);
             }
--- a/src/main/java/org/mountlug/node/AdmissionWatch.java
+++ b/src/main/java/org/mountlug/node/AdmissionWatch.java
@@ -8,7 +8,7 @@
 import org.mountlug.store.StateClient;
 import org.mountlug.store.StateKeys;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.PooledHttpClient;
 
 /**
  * Keeps a controller's view of the published admission table: reads it once and watches it from then on. An answer
@@ -33,8 +33,8 @@
 
     /** Opens the watch whenever it is closed, and reads where it does not answer. */
     void tick(double nowS) {
-        double readAfterS = environment.operators().admission().staleViewS() * Constants.Admission.REREAD_SHARE;
-        boolean old = watchFrom < 0 || nowS - gate.confirmedS() > readAfterS;
+        double readAfterS = environment.operators().admission().staleViewS() * Constants.Admission.REREAD_AFTER_SHARE;
+        boolean old = watchFrom < 0 || nowS - gate.tableConfirmedAtS() > readAfterS;
         if (old && !reading && nowS >= nextReadS) {
             read(nowS);
         }
@@ -45,19 +45,19 @@
 
     private void read(double askedS) {
         reading = true;
-        nextReadS = askedS + Constants.Admission.REREAD_S;
+        nextReadS = askedS + Constants.Admission.REREAD_INTERVAL_S;
         state.list(StateKeys.ADMISSION, null, answer -> {
             reading = false;
             if (answer.status() != 200) {
                 return;
             }
             records.clear();
-            for (Object element : Fields.list(answer.body(), "rows")) {
-                Map<String, Object> row = Fields.map(element);
-                records.put(Fields.str(row, "k"), Fields.map(row.get("v")));
+            for (Object element : Fields.getList(answer.body(), "rows")) {
+                Map<String, Object> row = Fields.asMap(element);
+                records.put(Fields.getString(row, "k"), Fields.asMap(row.get("v")));
             }
-            watchFrom = Fields.num(answer.body(), "epoch", 0);
-            gate.confirm(AdmissionCodec.read(records.values()), askedS);
+            watchFrom = Fields.getLong(answer.body(), "epoch", 0);
+            gate.updateTable(AdmissionCodec.read(records.values()), askedS);
         });
     }
 
@@ -75,19 +75,19 @@
         });
     }
 
-    private void take(Http.Answer answer, double askedS) {
-        watchFrom = Math.max(watchFrom, Fields.num(answer.body(), "epoch", 0));
-        for (Object element : Fields.list(answer.body(), "news")) {
-            Map<String, Object> change = Fields.map(element);
-            String key = Fields.str(change, "put");
+    private void take(PooledHttpClient.Response answer, double askedS) {
+        watchFrom = Math.max(watchFrom, Fields.getLong(answer.body(), "epoch", 0));
+        for (Object element : Fields.getList(answer.body(), "news")) {
+            Map<String, Object> change = Fields.asMap(element);
+            String key = Fields.getString(change, "put");
             if (key != null) {
-                records.put(key, Fields.map(change.get("v")));
+                records.put(key, Fields.asMap(change.get("v")));
             } else {
-                records.remove(Fields.str(change, "delete"));
+                records.remove(Fields.getString(change, "delete"));
             }
         }
         double latestS = askedS + Constants.WATCH_BLOCK_MS / 1000.0;
         double nowS = environment.clockS().getAsDouble();
-        gate.confirm(AdmissionCodec.read(records.values()), Math.min(nowS, latestS));
+        gate.updateTable(AdmissionCodec.read(records.values()), Math.min(nowS, latestS));
     }
 }
--- a/src/main/java/org/mountlug/node/AnnouncedVersions.java
+++ b/src/main/java/org/mountlug/node/AnnouncedVersions.java
@@ -30,10 +30,10 @@
             return;
         }
         reading = true;
-        nextReadS = nowS + Constants.VERSIONS_MS / 1000.0;
+        nextReadS = nowS + Constants.VERSION_CHECK_INTERVAL_MS / 1000.0;
         term.environment.state().list(StateKeys.VERSIONS, null, answer -> {
             reading = false;
-            if (!term.ended() && answer.status() == 200) {
+            if (!term.hasEnded() && answer.status() == 200) {
                 read(answer.body());
             }
         });
@@ -41,10 +41,10 @@
 
     private void read(Map<String, Object> body) {
         Map<String, Map<String, Object>> announced = new HashMap<>();
-        for (Object element : Fields.list(body, "rows")) {
-            Map<String, Object> row = Fields.map(element);
-            String label = Fields.str(row, "k").substring(StateKeys.VERSIONS.length());
-            announced.put(label, Fields.map(row.get("v")));
+        for (Object element : Fields.getList(body, "rows")) {
+            Map<String, Object> row = Fields.asMap(element);
+            String label = Fields.getString(row, "k").substring(StateKeys.VERSIONS.length());
+            announced.put(label, Fields.asMap(row.get("v")));
         }
         parts |= all(announced, VersionCodec::readsParts);
         zones |= all(announced, VersionCodec::readsZones);
@@ -53,17 +53,17 @@
     private boolean all(Map<String, Map<String, Object>> announced, Predicate<Map<String, Object>> understands) {
         Settings settings = term.environment.settings();
         return understands.test(announced.getOrDefault(settings.label(), Map.of()))
-                && settings.others().stream()
+                && settings.peers().stream()
                         .allMatch(peer -> understands.test(announced.getOrDefault(peer.label(), Map.of())));
     }
 
     /** Whether all read records in parts. */
-    boolean readParts() {
+    boolean allReadParts() {
         return parts;
     }
 
     /** Whether all read the record of the zones' state. */
-    boolean readZones() {
+    boolean allReadZones() {
         return zones;
     }
 }
--- a/src/main/java/org/mountlug/node/Controller.java
+++ b/src/main/java/org/mountlug/node/Controller.java
@@ -9,27 +9,27 @@
 import org.mountlug.Constants;
 import org.mountlug.cloud.CloudCodec;
 import org.mountlug.core.lead.Election;
-import org.mountlug.core.model.Aims;
+import org.mountlug.core.model.Command;
 import org.mountlug.core.model.MachineType;
-import org.mountlug.core.model.Order;
+import org.mountlug.core.model.Objectives;
 import org.mountlug.core.model.Report;
 import org.mountlug.core.zone.ZoneStatus;
 import org.mountlug.peer.PeerCodec;
+import org.mountlug.peer.PeerConnections;
 import org.mountlug.peer.PeerView;
-import org.mountlug.peer.Peers;
 import org.mountlug.settings.Settings;
-import org.mountlug.store.Change;
 import org.mountlug.store.StateClient;
 import org.mountlug.store.StateKeys;
-import org.mountlug.wire.Calls;
+import org.mountlug.store.Transaction;
 import org.mountlug.wire.Fields;
+import org.mountlug.wire.HttpTransport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * One controller node without its sockets: leadership, the watches a follower keeps, and what users, workers and peers
  * are answered. Everything runs on one thread, which on a quarter of a core costs nothing and leaves no state to be
- * shared; {@link Daemon} puts the sockets and the clock round it.
+ * shared; {@link ControllerServer} puts the sockets and the clock round it.
  */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
@@ -37,12 +37,12 @@
     private final Environment environment;
     private final Settings settings;
     private final Election election;
-    private final FinalStates finals = new FinalStates();
+    private final FinalStateCache finals = new FinalStateCache();
     private final Metrics metrics = new Metrics();
-    private final Aims aims = new Aims();
+    private final Objectives aims = new Objectives();
     private final SplittableRandom random;
     private final StateClient state;
-    private final Calls cloud;
+    private final HttpTransport cloud;
     private final DoubleSupplier clockS;
     private Leader leader;
     private volatile Map<String, MachineType> types = Map.of();
@@ -54,8 +54,8 @@
     private final long boot;
     private final double startedS;
     private final ReservationWatch reservations;
-    private final VersionAnnouncement versions;
-    private final ReportCount reports;
+    private final VersionAnnouncer versions;
+    private final ReportCounter reports;
     private final StoredReportCounts storedCounts;
     private final OverloadLog overload = new OverloadLog();
     private final AdmissionControl admission;
@@ -85,22 +85,22 @@
         this.lastTurnS = startedS;
         this.reservations = new ReservationWatch(state, metrics);
         this.admission = environment.operators().admission().enabled()
-                ? new FairAdmission(environment)
-                : new RequestBudgetAdmission(state);
-        this.versions = new VersionAnnouncement(state, settings.label());
+                ? new FairShareAdmission(environment)
+                : new RateLimitAdmission(state);
+        this.versions = new VersionAnnouncer(state, settings.label());
         this.storedCounts = new StoredReportCounts(state, settings.label());
-        this.reports = new ReportCount(Constants.REPORTS_INTERVALS * settings.reportS());
+        this.reports = new ReportCounter(Constants.REPORT_COUNT_WINDOW_INTERVALS * settings.reportIntervalS());
         this.election = new Election(settings.label(), Long.toHexString(boot));
         this.peerView = new PeerView(
-                settings.others().stream().map(Settings.Peer::label).toList(), Constants.ABORT_MEMORY_S);
+                settings.peers().stream().map(Settings.Peer::label).toList(), Constants.CANCELLATION_RETENTION_S);
         for (Settings.Objective o : settings.objectives()) {
             if (Double.isNaN(o.withinS())) {
                 continue;
             }
             if (o.kind().equals("wait")) {
-                aims.wait(o.lane(), o.withinS());
+                aims.addStartObjective(o.jobClass(), o.withinS());
             } else if (o.kind().equals("finished")) {
-                aims.finished(o.lane(), o.withinS());
+                aims.addCompletionObjective(o.jobClass(), o.withinS());
             }
         }
     }
@@ -110,26 +110,26 @@
     }
 
     /** Machines that are heard, as far as this controller leads. */
-    int machinesUp() {
-        return leader == null ? 0 : leader.machinesUp();
+    int upMachineCount() {
+        return leader == null ? 0 : leader.upMachineCount();
     }
 
     /** How the zones stand, as far as this controller leads. */
-    List<ZoneStatus> zones() {
-        return leader == null ? List.of() : leader.zones();
+    List<ZoneStatus> zoneStatuses() {
+        return leader == null ? List.of() : leader.zoneStatuses();
     }
 
     /** To be called about ten times a second. */
     public void tick() {
         noticeStandstill();
         lastTurnS = clockS.getAsDouble();
-        String l = election.leader();
-        if (l != null && !election.leading() && peerView.ended(l, clockS.getAsDouble())) {
+        String l = election.leaderLabel();
+        if (l != null && !election.isLeading() && peerView.hasProcessEnded(l, clockS.getAsDouble())) {
             LOG.info("{} has ended, by its refusals and the others' answers", l);
-            election.leaderEnded(l);
+            election.onLeaderProcessEnded(l);
         }
         noteLeader(clockS.getAsDouble());
-        overload.look(metrics.overBudgetSoFar(), clockS.getAsDouble());
+        overload.observe(metrics.rateLimitedRequestCount(), clockS.getAsDouble());
         shareReportCounts();
         if (missed()) {
             LOG.info("gives up leading: workers report to the other nodes and not to us");
@@ -139,7 +139,7 @@
         watchLeader();
         versions.announce(clockS.getAsDouble());
         admission.tick(clockS.getAsDouble());
-        if (!election.leading() && election.leader() != null) {
+        if (!election.isLeading() && election.leaderLabel() != null) {
             reservations.watch(clockS.getAsDouble());
         }
         types();
@@ -155,17 +155,17 @@
     private void noticeStandstill() {
         double now = clockS.getAsDouble();
         double gap = now - lastTurnS;
-        if (gap <= Constants.STANDSTILL_S) {
+        if (gap <= Constants.MIN_PROCESS_PAUSE_S) {
             return;
         }
-        metrics.standstill();
+        metrics.countProcessPause();
         LOG.info("stood still for {} s", Math.round(gap * 10) / 10.0);
         lastTurnS = now; // noticed once, by whichever looks first
         wokeS = now;
         stoodStillS = gap;
         doubtful = true;
         if (leader != null) {
-            leader.cluster().woke(now);
+            leader.cluster().restartListening(now);
         }
     }
 
@@ -173,14 +173,15 @@
      * Whether users' requests are refused for now: this process stood still for longer than any user waits, and what it
      * reads just after waking is mostly from users that have long given up and asked elsewhere.
      */
-    public boolean shedsRequests() {
+    public boolean isSheddingRequests() {
         noticeStandstill();
-        return stoodStillS > Constants.USER_PATIENCE_S && clockS.getAsDouble() - wokeS < Constants.SHED_AFTER_WAKING_S;
+        return stoodStillS > Constants.USER_REQUEST_TIMEOUT_S
+                && clockS.getAsDouble() - wokeS < Constants.SHED_AFTER_PAUSE_S;
     }
 
     /** Whether we may answer workers: after waking only once a renewal, or every peer, shows that nobody else leads. */
     private boolean trusted(double now) {
-        if (doubtful && (election.proven(now) || peerView.allAnsweredSince(wokeS))) {
+        if (doubtful && (election.isLeaseHeld(now) || peerView.haveAllRespondedSince(wokeS))) {
             doubtful = false;
         }
         return !doubtful;
@@ -195,11 +196,12 @@
         if (!mayBeMissed(now)) {
             return false;
         }
-        int elsewhere = Math.max(peerView.reportsElsewhere(now), storedCounts.elsewhere(now));
-        if (elsewhere < Constants.MISSED_LEAST || reports.lately(now) > elsewhere * Constants.MISSED_HEARS) {
+        int elsewhere = Math.max(peerView.recentPeerReportCount(now), storedCounts.peerReportCount(now));
+        if (elsewhere < Constants.ISOLATION_MIN_REPORTS
+                || reports.recentCount(now) > elsewhere * Constants.ISOLATION_OWN_REPORT_SHARE) {
             return false;
         }
-        return elsewhere >= leader.machinesUp() * Constants.MISSED_SHARE;
+        return elsewhere >= leader.upMachineCount() * Constants.ISOLATION_PEER_REPORT_SHARE;
     }
 
     /**
@@ -208,12 +210,14 @@
      */
     private boolean missedByWorkers(String label) {
         double now = clockS.getAsDouble();
-        return label != null && now - leaderKnownS >= Constants.MISSED_AFTER_S && peerView.reportsCeased(label, now);
+        return label != null
+                && now - leaderKnownS >= Constants.ISOLATION_MIN_TERM_S
+                && peerView.haveReportsCeased(label, now);
     }
 
     /** Notes when another leader began to lead, as far as this controller knows. */
     private void noteLeader(double now) {
-        long stamp = election.seenStamp();
+        long stamp = election.leaderKeyRevision();
         if (stamp != leaderStamp) {
             leaderStamp = stamp;
             leaderKnownS = now;
@@ -221,7 +225,10 @@
     }
 
     private boolean mayBeMissed(double now) {
-        return leader != null && leader.loaded() && election.proven(now) && leader.termS() >= Constants.MISSED_AFTER_S;
+        return leader != null
+                && leader.isLoaded()
+                && election.isLeaseHeld(now)
+                && leader.termDurationS() >= Constants.ISOLATION_MIN_TERM_S;
     }
 
     /**
@@ -230,16 +237,16 @@
      */
     private void shareReportCounts() {
         double now = clockS.getAsDouble();
-        int heard = reports.lately(now);
-        String label = election.leader();
-        if (leader == null && label != null && !election.leading()) {
-            if (heard >= Constants.MISSED_LEAST && !peerView.heardLately(label, now)) {
-                storedCounts.write(heard, election.seenStamp(), now);
+        int heard = reports.recentCount(now);
+        String label = election.leaderLabel();
+        if (leader == null && label != null && !election.isLeading()) {
+            if (heard >= Constants.ISOLATION_MIN_REPORTS && !peerView.hasRespondedRecently(label, now)) {
+                storedCounts.write(heard, election.leaderKeyRevision(), now);
             }
         } else if (mayBeMissed(now)
-                && heard <= leader.machinesUp() * Constants.MISSED_HEARS
-                && leader.machinesUp() >= Constants.MISSED_LEAST
-                && !peerView.allHeardLately(now)) {
+                && heard <= leader.upMachineCount() * Constants.ISOLATION_OWN_REPORT_SHARE
+                && leader.upMachineCount() >= Constants.ISOLATION_MIN_REPORTS
+                && !peerView.haveAllRespondedRecently(now)) {
             storedCounts.read(election.token(), now);
         }
     }
@@ -248,83 +255,90 @@
 
     /** When to campaign, as a part of the spread. */
     private double turn() {
-        boolean fresh = clockS.getAsDouble() - startedS < Constants.FRESH_S;
+        boolean fresh = clockS.getAsDouble() - startedS < Constants.EARLY_CAMPAIGN_UPTIME_S;
         double r = random.nextDouble();
-        return fresh ? r * Constants.FRESH_PART : Constants.FRESH_PART + r * (1 - Constants.FRESH_PART);
+        return fresh
+                ? r * Constants.EARLY_CAMPAIGN_SHARE
+                : Constants.EARLY_CAMPAIGN_SHARE + r * (1 - Constants.EARLY_CAMPAIGN_SHARE);
     }
 
     private void lead() {
         double now = clockS.getAsDouble();
-        switch (election.next(now)) {
-            case LOOK ->
+        switch (election.nextStep(now)) {
+            case READ_LEADER_KEY ->
                 state.get(StateKeys.LEADER, Constants.STATE_TIMEOUT_MS, a -> {
                     if (a.status() == 200) {
-                        Map<String, Object> v = Fields.map(a.body().get("v"));
-                        long stamp = Fields.num(a.body(), "stamp", 0);
-                        election.looked(
+                        Map<String, Object> v = Fields.asMap(a.body().get("v"));
+                        long stamp = Fields.getLong(a.body(), "stamp", 0);
+                        election.onLeaderKeyRead(
                                 clockS.getAsDouble(),
-                                Fields.str(v, "node"),
-                                Fields.str(v, "nonce"),
-                                Fields.num(v, "hold", 0),
+                                Fields.getString(v, "node"),
+                                Fields.getString(v, "nonce"),
+                                Fields.getLong(v, "hold", 0),
                                 stamp,
                                 turn());
                         if (leaderWatchFrom < stamp) {
                             leaderWatchFrom = stamp;
                         }
                     } else if (a.status() == 404) {
-                        leaderWatchFrom = Math.max(leaderWatchFrom, Fields.num(a.body(), "epoch", 0));
-                        election.looked(clockS.getAsDouble(), null, null, 0, 0, turn());
+                        leaderWatchFrom = Math.max(leaderWatchFrom, Fields.getLong(a.body(), "epoch", 0));
+                        election.onLeaderKeyRead(clockS.getAsDouble(), null, null, 0, 0, turn());
                     } else {
-                        election.failed(clockS.getAsDouble());
+                        election.onStepFailed(clockS.getAsDouble());
                     }
                 });
-            case DROP_OLD_LEASE ->
-                state.dropLease(election.oldLease(), a -> election.oldLeaseDropped(clockS.getAsDouble()));
-            case OPEN_LEASE ->
+            case REVOKE_OLD_LEASE ->
+                state.revokeLease(election.oldLeaseId(), a -> election.onOldLeaseRevoked(clockS.getAsDouble()));
+            case CREATE_LEASE ->
                 state.openLease(Constants.LEADER_LEASE_MS, a -> {
                     if (a.status() == 200) {
-                        election.leaseOpened(now, Fields.num(a.body(), "hold", 0));
+                        election.onLeaseCreated(now, Fields.getLong(a.body(), "hold", 0));
                         lead();
                     } else {
-                        election.failed(clockS.getAsDouble());
+                        election.onStepFailed(clockS.getAsDouble());
                     }
                 });
             case CAMPAIGN -> {
                 Map<String, Object> v = new LinkedHashMap<>();
                 v.put("node", settings.label());
                 v.put("nonce", election.nonce());
-                v.put("hold", election.lease());
-                state.commit(new Change().guard(StateKeys.LEADER, 0).put(StateKeys.LEADER, v, election.lease()), a -> {
-                    if (a.status() == 200) {
-                        election.campaigned(clockS.getAsDouble(), true, Fields.num(a.body(), "epoch", 0));
-                        lead();
-                    } else if (a.status() == 409) {
-                        election.campaigned(clockS.getAsDouble(), false, 0);
-                    } else {
-                        election.failed(clockS.getAsDouble());
-                    }
-                });
+                v.put("hold", election.leaseId());
+                state.commit(
+                        new Transaction()
+                                .requireRevision(StateKeys.LEADER, 0)
+                                .put(StateKeys.LEADER, v, election.leaseId()),
+                        a -> {
+                            if (a.status() == 200) {
+                                election.onCampaignResponse(
+                                        clockS.getAsDouble(), true, Fields.getLong(a.body(), "epoch", 0));
+                                lead();
+                            } else if (a.status() == 409) {
+                                election.onCampaignResponse(clockS.getAsDouble(), false, 0);
+                            } else {
+                                election.onStepFailed(clockS.getAsDouble());
+                            }
+                        });
             }
-            case RENEW ->
-                state.renewLease(election.lease(), a -> {
+            case RENEW_LEASE ->
+                state.renewLease(election.leaseId(), a -> {
                     if (a.status() == 200) {
-                        election.renewed(now, true);
+                        election.onRenewalResponse(now, true);
                     } else if (a.status() == 404) {
                         LOG.info("deposed: the lease ended");
-                        election.renewed(now, false);
+                        election.onRenewalResponse(now, false);
                     } else {
-                        election.failed(clockS.getAsDouble());
+                        election.onStepFailed(clockS.getAsDouble());
                     }
                 });
             case NONE -> {}
         }
-        if (leader != null && (!election.leading() || leader.cluster().token() != election.token())) {
+        if (leader != null && (!election.isLeading() || leader.cluster().token() != election.token())) {
             leader.end();
             leader = null;
-            metrics.leading(false);
+            metrics.setLeading(false);
             LOG.info("no longer leading");
         }
-        if (leader == null && election.leading()) {
+        if (leader == null && election.isLeading()) {
             LOG.info("elected with token {}", election.token());
             leader = new Leader(
                     environment,
@@ -333,15 +347,15 @@
                     types.values(),
                     finals,
                     metrics,
-                    () -> peerView.reportsElsewhere(clockS.getAsDouble()),
+                    () -> peerView.recentPeerReportCount(clockS.getAsDouble()),
                     admission);
-            metrics.leading(true);
+            metrics.setLeading(true);
         }
     }
 
     /** Followers learn of a vacancy from a watch, at once and for one request in ten seconds. */
     private void watchLeader() {
-        if (watchingLeader || election.leading() || leaderWatchFrom < 0) {
+        if (watchingLeader || election.isLeading() || leaderWatchFrom < 0) {
             return;
         }
         watchingLeader = true;
@@ -353,10 +367,10 @@
             if (a.status() != 200) {
                 return;
             }
-            leaderWatchFrom = Math.max(leaderWatchFrom, Fields.num(a.body(), "epoch", 0));
-            List<Object> news = Fields.list(a.body(), "news");
-            if (!news.isEmpty() && Fields.str(Fields.map(news.get(news.size() - 1)), "delete") != null) {
-                election.vanished(clockS.getAsDouble(), turn());
+            leaderWatchFrom = Math.max(leaderWatchFrom, Fields.getLong(a.body(), "epoch", 0));
+            List<Object> news = Fields.getList(a.body(), "news");
+            if (!news.isEmpty() && Fields.getString(Fields.asMap(news.get(news.size() - 1)), "delete") != null) {
+                election.onLeaderKeyDeleted(clockS.getAsDouble(), turn());
             }
         });
     }
@@ -364,56 +378,56 @@
     // ---- peers ------------------------------------------------------------------------------------------------
 
     /** What this controller tells another one that asks. */
-    public PeerCodec.Answer tellPeer(long serial) {
+    public PeerCodec.StatusResponse answerPeerRequest(long serial) {
         double now = clockS.getAsDouble();
-        return new PeerCodec.Answer(
+        return new PeerCodec.StatusResponse(
                 serial,
                 boot,
-                state.served(),
+                state.isServed(),
                 knownToken(),
-                reports.lately(now),
+                reports.recentCount(now),
                 false,
-                peerView.aborts(now),
+                peerView.recentCancellations(now),
                 admission.demand());
     }
 
     private long knownToken() {
-        return election.leading() ? election.token() : election.seenStamp();
+        return election.isLeading() ? election.token() : election.leaderKeyRevision();
     }
 
     /** Takes in what another controller has answered. */
-    public void heardPeer(String label, Peers.Heard h) {
+    public void handlePeerResponse(String label, PeerConnections.TimedResponse h) {
         double now = clockS.getAsDouble();
-        peerView.answered(label, h.askedS(), now, h.answer());
+        peerView.recordResponse(label, h.requestedS(), now, h.response());
         if (leader == null) {
             return;
         }
-        if (h.answer().token() > election.token()) {
-            LOG.info("deposed: {} knows token {}", label, h.answer().token());
+        if (h.response().token() > election.token()) {
+            LOG.info("deposed: {} knows token {}", label, h.response().token());
             election.depose();
             return;
         }
-        leader.demand(label, h.answer().boot(), h.answer().demand());
-        LiveRecords records = leader.records();
-        for (String id : h.answer().aborts()) {
-            records.cancellationNoticed(id);
+        leader.recordDemand(label, h.response().incarnation(), h.response().demand());
+        JobRecordWatch records = leader.records();
+        for (String id : h.response().cancellations()) {
+            records.recordCancellation(id);
         }
-        records.knownByPeers(peerView.knownUntilS(records.knownUntilS(), now));
+        records.confirmCancellationsUntil(peerView.cancellationsKnownUntilS(records.cancellationsKnownUntilS(), now));
     }
 
     /** A peer's address refused a connection. */
-    public void peerRefused(String label) {
-        peerView.refused(label, clockS.getAsDouble());
+    public void recordPeerRefusal(String label) {
+        peerView.recordRefusedConnection(label, clockS.getAsDouble());
     }
 
     /**
      * This node is about to tell a user that the job is cancelled, while its tasks may still run; to be called before each
      * such answer, as a leader that is not served hears of cancellations in no other way.
      */
-    public void abortAccepted(String id) {
-        peerView.cancelled(id, clockS.getAsDouble());
+    public void recordCancellation(String id) {
+        peerView.recordCancellation(id, clockS.getAsDouble());
         if (leader != null) {
-            leader.records().cancellationNoticed(id);
+            leader.records().recordCancellation(id);
         }
     }
 
@@ -428,12 +442,12 @@
         fetchingTypes = true;
         state.get(StateKeys.CATALOGUE, Constants.STATE_TIMEOUT_MS, a -> {
             if (a.status() == 200) {
-                learnTypes(CloudCodec.catalogue(Fields.map(a.body().get("v"))));
+                learnTypes(CloudCodec.readMachineTypes(Fields.asMap(a.body().get("v"))));
                 return;
             }
             cloud.call(Methods.GET, "/flavors", null, Constants.CLOUD_TIMEOUT_MS, b -> {
                 if (b.status() == 200) {
-                    learnTypes(CloudCodec.catalogue(b.body()));
+                    learnTypes(CloudCodec.readMachineTypes(b.body()));
                 } else {
                     fetchingTypes = false;
                     nextTypesS = clockS.getAsDouble() + 1 + random.nextDouble();
@@ -450,14 +464,14 @@
         }
         types = m;
         if (leader != null && leader.cluster().types().isEmpty()) {
-            leader.cluster().catalogue(l);
+            leader.cluster().setMachineTypes(l);
         }
     }
 
     // ---- for the interface ------------------------------------------------------------------------------------
 
     /** The machine types by name; empty until they have been read. */
-    public Map<String, MachineType> knownTypes() {
+    public Map<String, MachineType> machineTypes() {
         return types;
     }
 
@@ -472,25 +486,25 @@
     }
 
     /** The final state of a job as a cache knows it: true for done, false for cancelled, null if not known. */
-    public Boolean finalState(String id) {
-        FinalStates.State s = finals.get(id);
+    public Boolean cachedFinalState(String id) {
+        FinalStateCache.FinalState s = finals.get(id);
         return s == null ? null : (Boolean) s.done();
     }
 
     /** How many tasks a job had whose final state is cached, else 0. */
-    public int finalTasks(String id) {
-        FinalStates.State s = finals.get(id);
+    public int cachedTaskCount(String id) {
+        FinalStateCache.FinalState s = finals.get(id);
         return s == null ? 0 : s.tasks();
     }
 
     /** Caches the final state of a job. */
-    public void learnFinal(String id, boolean done, int tasks) {
+    public void cacheFinalState(String id, boolean done, int tasks) {
         finals.put(id, done, tasks);
     }
 
     /** Whether this node leads. */
-    public boolean leads() {
-        return leader != null && election.leading();
+    public boolean isLeading() {
+        return leader != null && election.isLeading();
     }
 
     /** The token under which this node leads or last led. */
@@ -500,49 +514,49 @@
 
     /** Who leads as far as this node knows, or null. */
     public String leaderLabel() {
-        return election.leader();
+        return election.leaderLabel();
     }
 
     /** What to answer a worker. */
-    public sealed interface ReportAnswer {
+    public sealed interface ReportResponse {
         /** Orders under our token. */
-        record Orders(long token, List<Order> orders) implements ReportAnswer {}
+        record Commands(long token, List<Command> commands) implements ReportResponse {}
 
         /** Somebody else leads, perhaps unknown who. */
-        record Elsewhere(String leader) implements ReportAnswer {}
+        record NotLeader(String leader) implements ReportResponse {}
 
         /** We lead but may not renew. */
-        record Blind() implements ReportAnswer {}
+        record Withheld() implements ReportResponse {}
     }
 
     /** Takes in a worker's report and decides the answer. */
-    public ReportAnswer handleReport(Report r) {
-        metrics.handleReport();
-        reports.add(clockS.getAsDouble());
-        if (leader == null || !election.leading()) {
-            String l = election.leader();
-            return new ReportAnswer.Elsewhere(settings.label().equals(l) || missedByWorkers(l) ? null : l);
+    public ReportResponse handleReport(Report r) {
+        metrics.countReport();
+        reports.recordReport(clockS.getAsDouble());
+        if (leader == null || !election.isLeading()) {
+            String l = election.leaderLabel();
+            return new ReportResponse.NotLeader(settings.label().equals(l) || missedByWorkers(l) ? null : l);
         }
         noticeStandstill();
         double now = clockS.getAsDouble();
-        if (!trusted(now) || !leader.mayRenew(now) || leader.unanswerable(r.machine())) {
-            metrics.unanswered();
-            return new ReportAnswer.Blind();
+        if (!trusted(now) || !leader.mayRenewWorkerLeases(now) || leader.mustWithholdResponse(r.machine())) {
+            metrics.countUnansweredReport();
+            return new ReportResponse.Withheld();
         }
-        List<Order> orders = leader.report(r);
+        List<Command> orders = leader.handleReport(r);
         if (orders == null) {
             LOG.info("deposed: {} knows token {}", r.machine(), r.token());
             election.depose();
-            return new ReportAnswer.Elsewhere(null);
+            return new ReportResponse.NotLeader(null);
         }
-        return new ReportAnswer.Orders(leader.cluster().token(), orders);
+        return new ReportResponse.Commands(leader.cluster().token(), orders);
     }
 
     /** Whether this node can take requests. */
-    public boolean healthy() {
+    public boolean isHealthy() {
         // A node that alone is refused sends its users elsewhere; in an outage for all there is no elsewhere.
         double now = clockS.getAsDouble();
-        boolean refused = !state.served() && now - state.servedS() > Constants.UNSERVED_MS / 1000.0;
-        return !(refused && peerView.anyServed(now));
+        boolean refused = !state.isServed() && now - state.lastServedS() > Constants.UNHEALTHY_AFTER_MS / 1000.0;
+        return !(refused && peerView.isStateAvailableToAnyPeer(now));
     }
 }
--- a/src/main/java/org/mountlug/node/Daemon.java
+++ b/src/main/java/org/mountlug/node/ControllerServer.java
@@ -11,14 +11,14 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import org.mountlug.Constants;
-import org.mountlug.api.Api;
-import org.mountlug.api.Users;
-import org.mountlug.peer.Peers;
-import org.mountlug.settings.Operators;
+import org.mountlug.api.HttpApi;
+import org.mountlug.api.UserRequestHandler;
+import org.mountlug.peer.PeerConnections;
+import org.mountlug.settings.ControllerSizing;
+import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
-import org.mountlug.settings.Sizes;
 import org.mountlug.store.StateClient;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.PooledHttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.OptionMap;
@@ -28,22 +28,22 @@
 import org.xnio.XnioWorker;
 
 /** A controller as a process: the server, the clients and the timers round a {@link Controller}, on one I/O thread. */
-public final class Daemon {
-    private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
+public final class ControllerServer {
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
     private final Settings settings;
-    private final Operators operators;
+    private final OperatorSettings operators;
     private XnioWorker worker;
     private XnioIoThread io;
     private Undertow server;
     private Controller node;
-    private Peers peers;
+    private PeerConnections peers;
     private double nextPeerS;
     private boolean stopped;
     private final List<String> sizes;
 
-    /** @param sizes what there is to say of the sizes, see {@link org.mountlug.settings.Sizes} */
-    public Daemon(Settings settings, Operators operators, List<String> sizes) {
+    /** @param sizes what there is to say of the sizes, see {@link org.mountlug.settings.ControllerSizing} */
+    public ControllerServer(Settings settings, OperatorSettings operators, List<String> sizes) {
         this.sizes = sizes;
         this.settings = settings;
         this.operators = operators;
@@ -64,46 +64,53 @@
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         io = worker.getIoThread();
-        ByteBufferPool pool = new DefaultByteBufferPool(true, Constants.IO_BUFFER, 64, 4);
+        ByteBufferPool pool = new DefaultByteBufferPool(true, Constants.IO_BUFFER_BYTES, 64, 4);
         StateClient state = new StateClient(
-                new Http(io, pool, settings.state(), Constants.STATE_CONNECTIONS),
-                new Http(io, pool, settings.state(), Constants.WATCH_CONNECTIONS),
-                Daemon::clockS,
+                new PooledHttpClient(io, pool, settings.stateAddress(), Constants.STATE_CONNECTIONS),
+                new PooledHttpClient(io, pool, settings.stateAddress(), Constants.WATCH_CONNECTIONS),
+                ControllerServer::clockS,
                 settings.stateRps(),
-                settings.others().size() + 1);
+                settings.peers().size() + 1);
         Environment environment = new Environment(
                 settings,
                 operators,
                 state,
-                new Http(io, pool, settings.cloud(), Constants.CLOUD_CONNECTIONS),
-                address -> new Http(io, pool, address, 1, false),
-                Daemon::clockS,
+                new PooledHttpClient(io, pool, settings.cloudAddress(), Constants.CLOUD_CONNECTIONS),
+                address -> new PooledHttpClient(io, pool, address, 1, false),
+                ControllerServer::clockS,
                 System::currentTimeMillis,
                 this::after);
         node = new Controller(environment, new SplittableRandom());
-        int colon = settings.listen().lastIndexOf(':');
+        int colon = settings.listenAddress().lastIndexOf(':');
         server = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(pool)
                 .addHttpListener(
-                        Integer.parseInt(settings.listen().substring(colon + 1)),
-                        settings.listen().substring(0, colon))
-                .setHandler(new Api(node, new Users(node, state, settings, System::currentTimeMillis)))
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) Constants.BODY_MAX * 2)
+                        Integer.parseInt(settings.listenAddress().substring(colon + 1)),
+                        settings.listenAddress().substring(0, colon))
+                .setHandler(new HttpApi(node, new UserRequestHandler(node, state, settings, System::currentTimeMillis)))
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) Constants.MAX_BODY_BYTES * 2)
                 // A machine that dies or is cut off closes nothing; its connection would be held for as long as we run.
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.IDLE_CONNECTION_MS)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.IDLE_CONNECTION_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-                .setSocketOption(Options.BACKLOG, Sizes.backlog(settings))
+                .setSocketOption(Options.BACKLOG, ControllerSizing.backlog(settings))
                 .build();
         server.start();
         Map<String, String> others = new LinkedHashMap<>();
-        for (Settings.Peer p : settings.others()) {
+        for (Settings.Peer p : settings.peers()) {
             others.put(p.label(), p.endpoint());
         }
-        peers = new Peers(worker, io, Daemon::clockS, others, node::tellPeer, node::heardPeer, node::peerRefused);
-        peers.listen(settings.clusterListen());
-        LOG.info("{} listens on {}: {}", settings.label(), settings.listen(), String.join("; ", sizes));
+        peers = new PeerConnections(
+                worker,
+                io,
+                ControllerServer::clockS,
+                others,
+                node::answerPeerRequest,
+                node::handlePeerResponse,
+                node::recordPeerRefusal);
+        peers.listen(settings.clusterListenAddress());
+        LOG.info("{} listens on {}: {}", settings.label(), settings.listenAddress(), String.join("; ", sizes));
         io.execute(this::tick);
     }
 
@@ -140,8 +147,8 @@
             node.tick();
             double now = clockS();
             if (now >= nextPeerS) {
-                nextPeerS = now + Constants.PEER_MS / 1000.0;
-                peers.ask();
+                nextPeerS = now + Constants.PEER_POLL_INTERVAL_MS / 1000.0;
+                peers.requestStatus();
             }
         } catch (RuntimeException e) {
             LOG.error("a turn failed", e);
--- a/src/main/java/org/mountlug/node/FairAdmission.java
+++ b/src/main/java/org/mountlug/node/FairShareAdmission.java
@@ -9,55 +9,55 @@
 import org.mountlug.core.admit.QueueId;
 import org.mountlug.core.model.JobSpec;
 import org.mountlug.core.model.Team;
-import org.mountlug.settings.Operators;
+import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
 import org.mountlug.store.StateClient;
 
 /** Admits submissions by the table that the leader publishes, see {@link AdmissionGate}. */
-final class FairAdmission implements AdmissionControl {
+final class FairShareAdmission implements AdmissionControl {
     private final Environment environment;
     private final StateClient state;
     private final AdmissionGate gate;
     private final AdmissionWatch watch;
 
-    FairAdmission(Environment environment) {
+    FairShareAdmission(Environment environment) {
         this.environment = environment;
         state = environment.state();
         Settings settings = environment.settings();
         AdmissionGate.Deployment deployment = new AdmissionGate.Deployment(
                 weights(settings, environment.operators()),
-                settings.others().size() + 1,
+                settings.peers().size() + 1,
                 settings.stateWriteRps(),
-                settings.skewMs());
+                settings.maxClockSkewMs());
         gate = new AdmissionGate(environment.operators().admission(), deployment);
         watch = new AdmissionWatch(environment, gate);
     }
 
     /** The weight of each team's queue, as operators set it. */
-    static Map<String, Double> weights(Settings settings, Operators operators) {
+    static Map<String, Double> weights(Settings settings, OperatorSettings operators) {
         Map<String, Double> weights = new HashMap<>();
         for (Team team : settings.teams()) {
-            weights.put(team.name(), operators.share(team.name()));
+            weights.put(team.name(), operators.teamWeight(team.name()));
         }
         return weights;
     }
 
     @Override
     public AdmissionDecision decide(JobSpec spec) {
-        QueueId queue = new QueueId(spec.team(), spec.lane());
-        gate.refusedByState(state.limitedS());
+        QueueId queue = new QueueId(spec.team(), spec.jobClass());
+        gate.recordStateRateLimit(state.lastRateLimitedS());
         AdmissionDecision decision = gate.decide(queue, spec.id(), nowMs(), nowS());
         if (decision instanceof AdmissionDecision.Admit) {
-            state.spendRequest();
+            state.chargeRequest();
         }
         return decision;
     }
 
     @Override
-    public boolean takeCancellation() {
-        boolean taken = state.takeSubmission();
+    public boolean tryAcquireCancellation() {
+        boolean taken = state.tryAcquireSubmission();
         if (taken) {
-            gate.spendForCancellation(nowMs(), nowS());
+            gate.chargeCancellation(nowMs(), nowS());
         }
         return taken;
     }
--- a/src/main/java/org/mountlug/node/FinalStates.java
+++ b/src/main/java/org/mountlug/node/FinalStateCache.java
@@ -5,19 +5,19 @@
 import org.mountlug.Constants;
 
 /** Final states of jobs; they never change, so a node may answer from here at any time. */
-final class FinalStates {
-    record State(boolean done, int tasks) {}
+final class FinalStateCache {
+    record FinalState(boolean done, int tasks) {}
 
-    private final Cache<String, State> cache = CacheBuilder.newBuilder()
-            .maximumSize(Constants.FINAL_CACHE)
+    private final Cache<String, FinalState> cache = CacheBuilder.newBuilder()
+            .maximumSize(Constants.FINAL_STATE_CACHE_SIZE)
             .concurrencyLevel(1)
             .build();
 
     void put(String id, boolean done, int tasks) {
-        cache.put(id, new State(done, tasks));
+        cache.put(id, new FinalState(done, tasks));
     }
 
-    State get(String id) {
+    FinalState get(String id) {
         return cache.getIfPresent(id);
     }
 }
--- a/src/main/java/org/mountlug/node/LiveRecords.java
+++ b/src/main/java/org/mountlug/node/JobRecordWatch.java
@@ -11,7 +11,7 @@
 import org.mountlug.Constants;
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.Reservation;
-import org.mountlug.store.RecordCodec;
+import org.mountlug.store.JobRecordCodec;
 import org.mountlug.store.ReservationCodec;
 import org.mountlug.store.StateClient;
 import org.mountlug.store.StateKeys;
@@ -24,42 +24,42 @@
  * and cancellations are also heard of from the nodes that tell users of them. It answers the one question on which the
  * renewal of workers' leases rests: up to when is every cancellation that a user was told of known to this term?
  */
-final class LiveRecords {
-    private static final Logger LOG = LoggerFactory.getLogger(LiveRecords.class);
+final class JobRecordWatch {
+    private static final Logger LOG = LoggerFactory.getLogger(JobRecordWatch.class);
 
     /** What the term does with what is read. */
-    interface Term {
-        /** Whether the job is known, so that its record goes to {@link #changed}. */
-        boolean knows(String id);
+    interface Listener {
+        /** Whether the job is known, so that its record goes to {@link #updateJob}. */
+        boolean isKnownJob(String id);
 
         /** A job with all its parts, as read at the start or submitted since. */
-        void adopt(Job j, double nowS);
+        void addJob(Job j, double nowS);
 
         /** A newer look at the record of a known job. */
-        void changed(String id, Map<String, Object> v, long stamp, double nowS);
+        void updateJob(String id, Map<String, Object> v, long stamp, double nowS);
 
         /** A key that nothing needs any more. */
-        void orphan(String key);
+        void addOrphanedKey(String key);
 
         /** Reservations as an earlier leader left them, by key, and the revisions of their keys. */
-        void reservations(Map<String, List<Reservation>> byJob, Map<String, Long> stamps);
+        void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> stamps);
 
         /** The first note of which machines have which images, as an earlier leader left it. */
-        void images(Map<String, Object> byMachine);
+        void restoreImageIndex(Map<String, Object> byMachine);
 
         /** Everything has been read. */
-        void loaded();
+        void onLoaded();
 
         /** A user was told that this job, known to the term, is cancelled. */
-        void cancelled(String id);
+        void cancelJob(String id);
 
-        boolean ended();
+        boolean hasEnded();
     }
 
     private final StateClient state;
     private final DoubleSupplier clockS;
     private final BiConsumer<Runnable, Integer> timer;
-    private final Term term;
+    private final Listener term;
     /** Jobs as read at the start of the term, until their parts are read too; null from then on. */
     private Map<String, Job> loading = new LinkedHashMap<>();
 
@@ -80,14 +80,14 @@
      * <li>An answer of the state service, to the time at which it was asked for and no later, however long it was on its
      * way: a watch that stayed open through a refusal says nothing of that time. It counts after what it brings has
      * been applied. 410 and reloading move it by nothing.</li>
-     * <li>The word of all peers without a gap ({@link org.mountlug.peer.PeerView#knownUntilS}), each of whose lists went
-     * through {@link #cancellationNoticed} first.</li>
+     * <li>The word of all peers without a gap ({@link org.mountlug.peer.PeerView#cancellationsKnownUntilS}), each of whose lists went
+     * through {@link #recordCancellation} first.</li>
      * </ul>
-     * Before everything is loaded nothing is known at all, see {@link #knownUntilS}.
+     * Before everything is loaded nothing is known at all, see {@link #cancellationsKnownUntilS}.
      */
     private double viewS = Double.NEGATIVE_INFINITY;
 
-    LiveRecords(StateClient state, DoubleSupplier clockS, BiConsumer<Runnable, Integer> timer, Term term) {
+    JobRecordWatch(StateClient state, DoubleSupplier clockS, BiConsumer<Runnable, Integer> timer, Listener term) {
         this.state = state;
         this.clockS = clockS;
         this.timer = timer;
@@ -99,33 +99,33 @@
     }
 
     /** Up to when every cancellation that a user was told of is known and applied; never, while records are read. */
-    double knownUntilS() {
+    double cancellationsKnownUntilS() {
         return loaded ? viewS : Double.NEGATIVE_INFINITY;
     }
 
-    /** The peers' lists, all of which have come through {@link #cancellationNoticed}, reach up to this time without a gap. */
-    void knownByPeers(double untilS) {
+    /** The peers' lists, all of which have come through {@link #recordCancellation}, reach up to this time without a gap. */
+    void confirmCancellationsUntil(double untilS) {
         viewS = Math.max(viewS, untilS);
     }
 
     /** A user was told that this job is cancelled; the record says so too, but may not be readable now. */
-    void cancellationNoticed(String id) {
-        if (loaded && term.knows(id)) {
-            term.cancelled(id);
+    void recordCancellation(String id) {
+        if (loaded && term.isKnownJob(id)) {
+            term.cancelJob(id);
         } else {
             noticed.put(id, clockS.getAsDouble());
         }
     }
 
     /** Notices that wait for something to be applied to. */
-    int noticesKept() {
+    int pendingCancellationCount() {
         return noticed.size();
     }
 
     private void later(Runnable r, int ms) {
         timer.accept(
                 () -> {
-                    if (!term.ended()) {
+                    if (!term.hasEnded()) {
                         r.run();
                     }
                 },
@@ -136,8 +136,8 @@
 
     private void load(String after, boolean first) {
         double asked = clockS.getAsDouble();
-        state.list(StateKeys.LIVE, after, a -> {
-            if (term.ended()) {
+        state.list(StateKeys.LIVE_JOBS, after, a -> {
+            if (term.hasEnded()) {
                 return;
             }
             if (a.status() != 200) {
@@ -146,11 +146,11 @@
                 return;
             }
             if (first) {
-                watchFrom = Fields.num(a.body(), "epoch", 0);
+                watchFrom = Fields.getLong(a.body(), "epoch", 0);
                 viewS = asked; // what is read of the other pages is no older
             }
             String last = rows(a.body());
-            if (Fields.bool(a.body(), "hasNext") && last != null) {
+            if (Fields.getBoolean(a.body(), "hasNext") && last != null) {
                 load(last, false);
             } else {
                 loadParts(null);
@@ -162,21 +162,25 @@
     private String rows(Map<String, Object> body) {
         double now = clockS.getAsDouble();
         String last = null;
-        for (Object o : Fields.list(body, "rows")) {
-            if (term.ended()) {
+        for (Object o : Fields.getList(body, "rows")) {
+            if (term.hasEnded()) {
                 return null;
             }
-            Map<String, Object> r = Fields.map(o);
-            last = Fields.str(r, "k");
-            record(last.substring(StateKeys.LIVE.length()), Fields.map(r.get("v")), Fields.num(r, "stamp", 0), now);
+            Map<String, Object> r = Fields.asMap(o);
+            last = Fields.getString(r, "k");
+            applyRecord(
+                    last.substring(StateKeys.LIVE_JOBS.length()),
+                    Fields.asMap(r.get("v")),
+                    Fields.getLong(r, "stamp", 0),
+                    now);
         }
         return last;
     }
 
     /** The parts of the jobs just read. Only a leader writes them, and since we lead no older one's write succeeds. */
     private void loadParts(String after) {
-        state.list(StateKeys.PARTS, after, a -> {
-            if (term.ended()) {
+        state.list(StateKeys.RECORD_PARTS, after, a -> {
+            if (term.hasEnded()) {
                 return;
             }
             if (a.status() != 200) {
@@ -185,12 +189,12 @@
             }
             double now = clockS.getAsDouble();
             String last = null;
-            for (Object o : Fields.list(a.body(), "rows")) {
-                Map<String, Object> r = Fields.map(o);
-                last = Fields.str(r, "k");
-                part(last, Fields.map(r.get("v")), now);
+            for (Object o : Fields.getList(a.body(), "rows")) {
+                Map<String, Object> r = Fields.asMap(o);
+                last = Fields.getString(r, "k");
+                part(last, Fields.asMap(r.get("v")), now);
             }
-            if (Fields.bool(a.body(), "hasNext") && last != null) {
+            if (Fields.getBoolean(a.body(), "hasNext") && last != null) {
                 loadParts(last);
                 return;
             }
@@ -205,20 +209,20 @@
 
     private void part(String key, Map<String, Object> v, double now) {
         int slash = key.lastIndexOf('/');
-        String id = key.substring(StateKeys.PARTS.length(), slash);
+        String id = key.substring(StateKeys.RECORD_PARTS.length(), slash);
         Job j = loading.get(id);
         if (j == null) {
             if (!unreadable.contains(id)) {
-                term.orphan(key); // its job is over, and ids never come back
+                term.addOrphanedKey(key); // its job is over, and ids never come back
             }
             return;
         }
         try {
             int n = Integer.parseInt(key.substring(slash + 1));
-            if (!j.split()) {
-                j.leftover.set(n); // written ahead by a leader that ended before it mattered
-            } else if (n < j.parts()) {
-                RecordCodec.part(j, n, v, now);
+            if (!j.isSplit()) {
+                j.orphanedParts.set(n); // written ahead by a leader that ended before it mattered
+            } else if (n < j.recordCount()) {
+                JobRecordCodec.readPart(j, n, v, now);
             }
         } catch (RuntimeException e) {
             LOG.error("part {} cannot be read: {}", key, e.toString());
@@ -230,55 +234,55 @@
 
     private void adopt(Job j, double now) {
         String id = j.spec.id();
-        term.adopt(j, now);
-        if (noticed.remove(id) != null && term.knows(id)) {
-            term.cancelled(id);
+        term.addJob(j, now);
+        if (noticed.remove(id) != null && term.isKnownJob(id)) {
+            term.cancelJob(id);
         }
     }
 
     private void loadReservations() {
-        state.list(StateKeys.RESERVED, null, a -> {
-            if (term.ended()) {
+        state.list(StateKeys.RESERVATIONS, null, a -> {
+            if (term.hasEnded()) {
                 return;
             }
             if (a.status() != 200) {
                 later(this::loadReservations, 300);
                 return;
             }
-            reservations(a.body(), term::reservations);
+            parseReservations(a.body(), term::restoreReservations);
             loadImages();
         });
     }
 
     /** Hands on the stored reservations of a listing, by job, and the revisions of their keys. */
-    static void reservations(
-            Map<String, Object> body, BiConsumer<Map<String, List<Reservation>>, Map<String, Long>> to) {
+    static void parseReservations(
+            Map<String, Object> body, BiConsumer<Map<String, List<Reservation>>, Map<String, Long>> consumer) {
         Map<String, List<Reservation>> byJob = new HashMap<>();
         Map<String, Long> stamps = new HashMap<>();
-        for (Object o : Fields.list(body, "rows")) {
-            Map<String, Object> r = Fields.map(o);
-            String id = Fields.str(r, "k").substring(StateKeys.RESERVED.length());
+        for (Object o : Fields.getList(body, "rows")) {
+            Map<String, Object> r = Fields.asMap(o);
+            String id = Fields.getString(r, "k").substring(StateKeys.RESERVATIONS.length());
             List<Reservation> l;
             try {
-                l = ReservationCodec.read(Fields.map(r.get("v")));
+                l = ReservationCodec.read(Fields.asMap(r.get("v")));
             } catch (RuntimeException e) {
                 LOG.error("reservation of {} cannot be read: {}", id, e.toString());
                 l = List.of(); // forgotten with the next change of reservations
             }
             byJob.put(id, l);
-            stamps.put(id, Fields.num(r, "stamp", 0));
+            stamps.put(id, Fields.getLong(r, "stamp", 0));
         }
-        to.accept(byJob, stamps);
+        consumer.accept(byJob, stamps);
     }
 
     /** What the last leader knew of machines' images; without it every change of leader costs fetches. */
     private void loadImages() {
-        state.get(StateKeys.IMAGES, Constants.STATE_TIMEOUT_MS, a -> {
-            if (term.ended()) {
+        state.get(StateKeys.IMAGE_INDEX, Constants.STATE_TIMEOUT_MS, a -> {
+            if (term.hasEnded()) {
                 return;
             }
             if (a.status() == 200) {
-                term.images(Fields.map(a.body().get("v")));
+                term.restoreImageIndex(Fields.asMap(a.body().get("v")));
             }
             finishLoading();
         });
@@ -287,12 +291,12 @@
     private void finishLoading() {
         loaded = true;
         for (String id : List.copyOf(noticed.keySet())) {
-            if (term.knows(id)) {
+            if (term.isKnownJob(id)) {
                 noticed.remove(id);
-                term.cancelled(id);
+                term.cancelJob(id);
             }
         }
-        term.loaded();
+        term.onLoaded();
         watch();
     }
 
@@ -300,27 +304,27 @@
 
     private void watch() {
         double asked = clockS.getAsDouble();
-        state.watch(StateKeys.LIVE, watchFrom, 2000, a -> {
-            if (term.ended()) {
+        state.watch(StateKeys.LIVE_JOBS, watchFrom, 2000, a -> {
+            if (term.hasEnded()) {
                 return;
             }
             double now = clockS.getAsDouble();
             if (a.status() == 200) {
-                for (Object o : Fields.list(a.body(), "news")) {
-                    if (term.ended()) {
+                for (Object o : Fields.getList(a.body(), "news")) {
+                    if (term.hasEnded()) {
                         return;
                     }
-                    Map<String, Object> e = Fields.map(o);
-                    String put = Fields.str(e, "put");
+                    Map<String, Object> e = Fields.asMap(o);
+                    String put = Fields.getString(e, "put");
                     if (put != null) {
-                        record(
-                                put.substring(StateKeys.LIVE.length()),
-                                Fields.map(e.get("v")),
-                                Fields.num(e, "stamp", 0),
+                        applyRecord(
+                                put.substring(StateKeys.LIVE_JOBS.length()),
+                                Fields.asMap(e.get("v")),
+                                Fields.getLong(e, "stamp", 0),
                                 now);
                     }
                 }
-                watchFrom = Math.max(watchFrom, Fields.num(a.body(), "epoch", watchFrom));
+                watchFrom = Math.max(watchFrom, Fields.getLong(a.body(), "epoch", watchFrom));
                 viewS = Math.max(viewS, asked);
                 // What was told is durable, so these would have been shown by now, were they not over.
                 noticed.values().removeIf(heardS -> heardS < asked);
@@ -334,8 +338,8 @@
     }
 
     private void reload(String after, boolean first) {
-        state.list(StateKeys.LIVE, after, a -> {
-            if (term.ended()) {
+        state.list(StateKeys.LIVE_JOBS, after, a -> {
+            if (term.hasEnded()) {
                 return;
             }
             if (a.status() != 200) {
@@ -343,10 +347,10 @@
                 return;
             }
             if (first) {
-                watchFrom = Fields.num(a.body(), "epoch", 0);
+                watchFrom = Fields.getLong(a.body(), "epoch", 0);
             }
             String last = rows(a.body());
-            if (Fields.bool(a.body(), "hasNext") && last != null) {
+            if (Fields.getBoolean(a.body(), "hasNext") && last != null) {
                 reload(last, false);
             } else {
                 watch();
@@ -355,14 +359,14 @@
     }
 
     /** A record as the state service shows it: new, the term's own write, or one that a user's abort has changed. */
-    void record(String id, Map<String, Object> v, long stamp, double now) {
-        if (term.knows(id)) {
-            term.changed(id, v, stamp, now);
+    void applyRecord(String id, Map<String, Object> v, long stamp, double now) {
+        if (term.isKnownJob(id)) {
+            term.updateJob(id, v, stamp, now);
             return;
         }
         Job n;
         try {
-            n = RecordCodec.job(id, v, stamp, now);
+            n = JobRecordCodec.read(id, v, stamp, now);
         } catch (RuntimeException e) {
             // One record that nobody can read must not keep the others from being served.
             LOG.error("record of {} cannot be read: {}", id, e.toString());
@@ -373,7 +377,7 @@
             loading.put(id, n);
         }
         // Later, a job with parts that we do not know is one that is over for us: a late word of our own writes.
-        else if (!n.split() && !unreadable.contains(id)) {
+        else if (!n.isSplit() && !unreadable.contains(id)) {
             adopt(n, now);
         }
     }
--- a/src/main/java/org/mountlug/node/LeaderTerm.java
+++ b/src/main/java/org/mountlug/node/LeaderTerm.java
@@ -3,8 +3,8 @@
 import org.mountlug.Constants;
 import org.mountlug.core.cluster.Cluster;
 import org.mountlug.core.lead.Election;
-import org.mountlug.store.Change;
 import org.mountlug.store.StateKeys;
+import org.mountlug.store.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,7 +25,7 @@
         this.election = election;
         this.cluster = new Cluster(
                 election.token(),
-                environment.settings().leaseS(),
+                environment.settings().workerLeaseS(),
                 environment.settings().teams());
     }
 
@@ -34,11 +34,11 @@
     }
 
     /** Whether the lease of the leader key is proven to be held at this time. */
-    boolean proven(double nowS) {
-        return election.proven(nowS);
+    boolean isLeaseHeld(double nowS) {
+        return election.isLeaseHeld(nowS);
     }
 
-    boolean ended() {
+    boolean hasEnded() {
         return ended;
     }
 
@@ -47,13 +47,13 @@
     }
 
     /** Another leader was noticed: this controller leads no more. */
-    void depose(String why) {
-        LOG.info("deposed: {}", why);
+    void depose(String reason) {
+        LOG.info("deposed: {}", reason);
         election.depose();
     }
 
     /** Runs something after a while, unless the term is over by then. */
-    void later(Runnable task, int ms) {
+    void runLater(Runnable task, int ms) {
         Runnable guarded = () -> {
             if (!ended) {
                 task.run();
@@ -63,12 +63,12 @@
     }
 
     /** A transaction that succeeds only while this term's key is there. */
-    Change change() {
-        return new Change().guard(StateKeys.LEADER, cluster.token());
+    Transaction newFencedTransaction() {
+        return new Transaction().requireRevision(StateKeys.LEADER, cluster.token());
     }
 
     /** Characters that a value may have, under the least of the limits in force and to come. */
-    int valueChars() {
-        return (int) (environment.settings().leastValueKb() * 1024 * Constants.VALUE_FILL);
+    int maxValueChars() {
+        return (int) (environment.settings().strictestValueLimitKb() * 1024 * Constants.VALUE_FILL_SHARE);
     }
 }
--- a/src/main/java/org/mountlug/node/Metrics.java
+++ b/src/main/java/org/mountlug/node/Metrics.java
@@ -41,77 +41,77 @@
     private MultiGauge deferrals;
 
     /** Counts tasks that a round has placed. */
-    public void placed(int n) {
+    public void countPlacedTasks(int n) {
         placed.addAndGet(n);
     }
 
     /** Counts a job that is over, done or cancelled. */
-    public void finished(boolean complete) {
-        (complete ? done : cancelled).incrementAndGet();
+    public void countFinishedJob(boolean completed) {
+        (completed ? done : cancelled).incrementAndGet();
     }
 
     /** Counts a worker's report. */
-    public void handleReport() {
+    public void countReport() {
         beats.incrementAndGet();
     }
 
     /** Counts a submission, whatever its answer. */
-    public void submitted() {
+    public void countSubmission() {
         submissions.incrementAndGet();
     }
 
     /** Counts a request of a user that was refused for the budget's sake. */
-    public void overBudget() {
+    public void countRateLimitedRequest() {
         overBudget.incrementAndGet();
     }
 
     /** How many requests have been refused for the budget's sake. */
-    public long overBudgetSoFar() {
+    public long rateLimitedRequestCount() {
         return overBudget.get();
     }
 
     /** Counts a submission of a team that was deferred, as others go first; only teams of the settings submit. */
-    public void deferred(String team) {
+    public void countDeferredSubmission(String team) {
         deferredByTeam.computeIfAbsent(team, unseen -> new AtomicLong()).incrementAndGet();
     }
 
     /** Counts a request of a user that could not be served. */
-    public void unserved() {
+    public void countUnservedRequest() {
         unserved.incrementAndGet();
     }
 
     /** Counts a worker's report that a leader left without an answer. */
-    public void unanswered() {
+    public void countUnansweredReport() {
         unanswered.incrementAndGet();
     }
 
     /** Counts a standstill of the process. */
-    public void standstill() {
+    public void countProcessPause() {
         standstills.incrementAndGet();
     }
 
     /** Counts a request for machines that the cloud had none for. */
-    public void rentalRefused() {
+    public void countRefusedRental() {
         rentalsRefused.incrementAndGet();
     }
 
     /** Shows how jobs and machines stand, as the leader knows them. */
-    public void fleet(FleetStatus status) {
+    public void setFleetStatus(FleetStatus status) {
         fleet = status;
     }
 
     /** Shows how the zones stand, as the leader tracks them. */
-    public void zones(List<ZoneStatus> status) {
+    public void setZoneStatuses(List<ZoneStatus> status) {
         zones = status;
     }
 
     /** Shows how many gangs hold reservations. */
-    public void reserved(int gangs) {
+    public void setReservationCount(int gangs) {
         reservations.set(gangs);
     }
 
     /** Shows whether this controller leads. */
-    public void leading(boolean is) {
+    public void setLeading(boolean is) {
         leading.set(is ? 1 : 0);
     }
 
@@ -135,8 +135,8 @@
             gauge("mountlug.machines.booting", FleetStatus::booting);
             gauge("mountlug.machines.silent", FleetStatus::silent);
             gauge("mountlug.machines.quarantined", FleetStatus::quarantined);
-            gauge("mountlug.term.tasks.lost", FleetStatus::lost);
-            gauge("mountlug.term.tasks.failed", FleetStatus::failed);
+            gauge("mountlug.term.tasks.lost", FleetStatus::lostTasks);
+            gauge("mountlug.term.tasks.failed", FleetStatus::failedTasks);
             Gauge.builder("mountlug.reservations", reservations, AtomicInteger::get)
                     .register(registry);
             zoneStates = MultiGauge.builder("mountlug.zone.state").register(registry);
--- a/src/main/java/org/mountlug/node/OverloadLog.java
+++ b/src/main/java/org/mountlug/node/OverloadLog.java
@@ -14,7 +14,7 @@
     private boolean overloaded;
 
     /** Looks at the number of requests refused so far. */
-    void look(long refused, double nowS) {
+    void observe(long refused, double nowS) {
         if (refused > refusedBefore) {
             lastS = nowS;
             if (!overloaded) {
@@ -22,14 +22,14 @@
                 refusedAtFirst = refusedBefore;
                 LOG.info("users ask more than this controller's part of the state service's budget: refusing with 429");
             }
-        } else if (overloaded && nowS - lastS > Constants.OVERLOAD_OVER_S) {
+        } else if (overloaded && nowS - lastS > Constants.OVERLOAD_CLEAR_S) {
             overloaded = false;
             LOG.info("users' requests are within the budget again, {} were refused", refused - refusedAtFirst);
         }
         refusedBefore = refused;
     }
 
-    boolean overloaded() {
+    boolean isOverloaded() {
         return overloaded;
     }
 }
--- a/src/main/java/org/mountlug/node/RequestBudgetAdmission.java
+++ b/src/main/java/org/mountlug/node/RateLimitAdmission.java
@@ -7,21 +7,21 @@
 import org.mountlug.store.StateClient;
 
 /** Admits submissions while this controller's request budget lasts, whoever asks. */
-final class RequestBudgetAdmission implements AdmissionControl {
+final class RateLimitAdmission implements AdmissionControl {
     private final StateClient state;
 
-    RequestBudgetAdmission(StateClient state) {
+    RateLimitAdmission(StateClient state) {
         this.state = state;
     }
 
     @Override
     public AdmissionDecision decide(JobSpec spec) {
-        return state.takeSubmission() ? new AdmissionDecision.Admit() : new AdmissionDecision.OverBudget();
+        return state.tryAcquireSubmission() ? new AdmissionDecision.Admit() : new AdmissionDecision.RateLimited();
     }
 
     @Override
-    public boolean takeCancellation() {
-        return state.takeSubmission();
+    public boolean tryAcquireCancellation() {
+        return state.tryAcquireSubmission();
     }
 
     @Override
--- a/src/main/java/org/mountlug/node/RecordWriter.java
+++ b/src/main/java/org/mountlug/node/RecordWriter.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import org.mountlug.Constants;
 import org.mountlug.core.model.Job;
-import org.mountlug.store.Budget;
-import org.mountlug.store.Change;
-import org.mountlug.store.RecordCodec;
+import org.mountlug.store.JobRecordCodec;
 import org.mountlug.store.StateClient;
 import org.mountlug.store.StateKeys;
+import org.mountlug.store.TokenBucket;
+import org.mountlug.store.Transaction;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
 import org.mountlug.wire.Json;
+import org.mountlug.wire.PooledHttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,40 +32,40 @@
 
     /** A transaction that is being put together. */
     private static final class Draft {
-        final Change change;
+        final Transaction change;
         final int room;
         final List<Item> items = new ArrayList<>();
         int used;
         int bytes;
 
-        Draft(Change change, int room) {
+        Draft(Transaction change, int room) {
             this.change = change;
             this.room = room;
         }
 
         void put(String key, Map<String, Object> value) {
             change.put(key, value);
-            bytes += Json.length(value) + Constants.RECORD_KEY_BYTES;
+            bytes += Json.length(value) + Constants.WRITE_OVERHEAD_BYTES;
             used++;
         }
 
         boolean full() {
-            return used >= room || bytes > Constants.TXN_BYTES;
+            return used >= room || bytes > Constants.MAX_TXN_BYTES;
         }
     }
 
     /** Told when a job has moved to the finished ones and its outcome is known. */
-    interface Finished {
-        void finished(Job job, boolean done);
+    interface FinishedJobListener {
+        void onJobFinished(Job job, boolean done);
     }
 
     private final LeaderTerm term;
     private final StateClient state;
-    private final Budget writes;
-    private final RecordLayout layout;
+    private final TokenBucket writes;
+    private final RecordSplitter layout;
     private final ReservationWriter reservations;
-    private final LiveRecords records;
-    private final Finished finished;
+    private final JobRecordWatch records;
+    private final FinishedJobListener finished;
 
     /** Keys that nothing needs any more, deleted when there is room for it. */
     private final ArrayDeque<String> orphans = new ArrayDeque<>();
@@ -77,7 +77,7 @@
     private final Map<String, Double> refusedUntil = new HashMap<>();
 
     private List<Item> inFlight;
-    private Change change;
+    private Transaction change;
     private boolean waiting;
     /** Whether a copy of the transaction on its way may have been executed or yet be. */
     private boolean unknown;
@@ -88,11 +88,11 @@
 
     RecordWriter(
             LeaderTerm term,
-            Budget writes,
-            RecordLayout layout,
+            TokenBucket writes,
+            RecordSplitter layout,
             ReservationWriter reservations,
-            LiveRecords records,
-            Finished finished) {
+            JobRecordWatch records,
+            FinishedJobListener finished) {
         this.term = term;
         this.state = term.environment.state();
         this.writes = writes;
@@ -103,25 +103,25 @@
     }
 
     /** A key of an earlier leader that nothing needs any more. */
-    void orphan(String key) {
+    void addOrphanedKey(String key) {
         orphans.add(key);
     }
 
     /** The next flush waits for nothing. */
-    void hasten() {
+    void requestImmediateFlush() {
         nextFlushS = 0;
     }
 
     /** Writes what has changed, whenever it is time. */
     void tick(double nowS) {
         if (nowS >= nextFlushS) {
-            nextFlushS = nowS + Constants.FLUSH_MS / 1000.0;
+            nextFlushS = nowS + Constants.FLUSH_INTERVAL_MS / 1000.0;
             flush(nowS);
         }
     }
 
     /** The watch shows a record with this write's identity: our own on its way, whose answer may yet come or be lost. */
-    void shown(Job job, String writeId, long stamp) {
+    void confirmWatchedWrite(Job job, String writeId, long stamp) {
         if (inFlight == null) {
             return;
         }
@@ -142,19 +142,19 @@
             send();
             return;
         }
-        if (!term.proven(nowS)) {
+        if (!term.isLeaseHeld(nowS)) {
             return;
         }
         int txnOps = term.environment.settings().txnOps();
-        int room = (int) Math.min(txnOps, Math.floor(writes.level(nowS) + 1e-9));
+        int room = (int) Math.min(txnOps, Math.floor(writes.available(nowS) + 1e-9));
         if (room < 1) {
             return;
         }
-        Draft draft = new Draft(term.change(), room);
+        Draft draft = new Draft(term.newFencedTransaction(), room);
         if (!fill(draft, txnOps, nowS) || draft.used == 0) {
             return;
         }
-        writes.take(nowS, draft.used);
+        writes.tryAcquire(nowS, draft.used);
         inFlight = draft.items;
         change = draft.change;
         unknown = false;
@@ -166,13 +166,13 @@
         List<Job> dirty = dirty(nowS);
         boolean alone = oneByOne > 0;
         if (alone && !dirty.isEmpty()) {
-            reservations.skip();
+            reservations.clearInFlight();
         } else {
-            draft.used = reservations.add(draft.change, draft.room, nowS);
+            draft.used = reservations.addChangesTo(draft.change, draft.room, nowS);
         }
         for (Job job : dirty) {
             // At least one part with the job's own record, or a job of many parts would be put off for ever.
-            int cost = job.over() || job.partsToWrite(1).length > 0 ? 2 : 1;
+            int cost = job.isFinished() || job.partsToWrite(1).length > 0 ? 2 : 1;
             if (draft.used + cost > draft.room) {
                 if (draft.used > 0) {
                     break;
@@ -197,19 +197,19 @@
     private List<Job> dirty(double nowS) {
         List<Job> dirty = new ArrayList<>();
         for (Job job : term.cluster.jobs.values()) {
-            if (job.over() && !job.dirty()) {
-                job.touch(nowS, true);
+            if (job.isFinished() && !job.isDirty()) {
+                job.markChanged(nowS, true);
             }
             if (nowS < refusedUntil.getOrDefault(job.spec.id(), 0.0)) {
                 continue;
             }
-            if (job.dirty() && (job.urgent || nowS - job.dirtySinceS > Constants.LAZY_FLUSH_MS / 1000.0)) {
+            if (job.isDirty() && (job.writeUrgent || nowS - job.dirtySinceS > Constants.LAZY_FLUSH_DELAY_MS / 1000.0)) {
                 dirty.add(job);
             }
         }
-        dirty.sort(Comparator.comparing((Job job) -> !job.spec.service())
-                .thenComparing(job -> !job.over())
-                .thenComparing(job -> !job.urgent)
+        dirty.sort(Comparator.comparing((Job job) -> !job.spec.isService())
+                .thenComparing(job -> !job.isFinished())
+                .thenComparing(job -> !job.writeUrgent)
                 .thenComparingDouble(job -> job.dirtySinceS));
         return dirty;
     }
@@ -217,12 +217,12 @@
     private void add(Draft draft, Job job, double nowS) {
         String id = job.spec.id();
         String writeId = term.cluster.token() + "." + ++writeCounter;
-        draft.change.guard(StateKeys.LIVE + id, job.stamp);
-        if (job.over()) {
-            draft.change.delete(StateKeys.LIVE + id);
-            draft.change.put(StateKeys.FINAL + id, RecordCodec.over(job.endsAsDone(), job.spec.tasks()));
+        draft.change.requireRevision(StateKeys.LIVE_JOBS + id, job.revision);
+        if (job.isFinished()) {
+            draft.change.delete(StateKeys.LIVE_JOBS + id);
+            draft.change.put(StateKeys.FINAL_RECORDS + id, JobRecordCodec.finalRecord(job.isDone(), job.spec.tasks()));
             draft.used += 2;
-            draft.items.add(new Item(job, true, job.endsAsDone(), true, new int[0], job.version, writeId));
+            draft.items.add(new Item(job, true, job.isDone(), true, new int[0], job.version, writeId));
             return;
         }
         if (layout.mustSplit(job)) {
@@ -232,13 +232,13 @@
         int[] all = job.partsToWrite(left + 1);
         // The record that says that there are parts is written last: until then the old one, which nothing replaces,
         // holds all that is durable, and what is written ahead counts for nothing.
-        boolean own = !job.switching() || all.length < left;
+        boolean own = !job.isSplitPending() || all.length < left;
         int[] some = Arrays.copyOf(all, Math.min(all.length, left - (own ? 1 : 0)));
         if (own) {
-            draft.put(StateKeys.LIVE + id, RecordCodec.job(job, writeId));
+            draft.put(StateKeys.LIVE_JOBS + id, JobRecordCodec.write(job, writeId));
         }
         for (int part : some) {
-            draft.put(RecordCodec.partKey(id, part), RecordCodec.part(job, part));
+            draft.put(JobRecordCodec.partKey(id, part), JobRecordCodec.writePart(job, part));
         }
         draft.items.add(new Item(job, false, false, own, some, job.version, writeId));
     }
@@ -246,7 +246,7 @@
     private void addOrphans(Draft draft, boolean alone) {
         orphansInFlight = 0;
         for (String key : orphans) {
-            if (alone || draft.used >= draft.room || orphansInFlight >= Constants.ORPHANS_MOST) {
+            if (alone || draft.used >= draft.room || orphansInFlight >= Constants.MAX_ORPHANED_KEYS_PER_TXN) {
                 break;
             }
             draft.change.delete(key);
@@ -261,17 +261,17 @@
         waiting = true;
         state.commit(change, answer -> {
             waiting = false;
-            if (!term.ended()) {
+            if (!term.hasEnded()) {
                 answered(answer);
             }
         });
     }
 
-    private void answered(Http.Answer answer) {
+    private void answered(PooledHttpClient.Response answer) {
         double nowS = term.nowS();
         switch (answer.status()) {
-            case 200 -> stored(Fields.num(answer.body(), "epoch", 0));
-            case 409 -> conditionFailed(Fields.list(answer.body(), "failed"), nowS);
+            case 200 -> stored(Fields.getLong(answer.body(), "epoch", 0));
+            case 409 -> conditionFailed(Fields.getList(answer.body(), "failed"), nowS);
             case 400 -> {
                 LOG.error("state service refused a change of {} jobs: {}", inFlight.size(), answer.body());
                 refused(nowS);
@@ -286,16 +286,16 @@
                 if (!unknown) {
                     settled(); // certainly not executed; what it held is still dirty
                 }
-                retryAtS = nowS + Constants.UNSERVED_CHANGE_S;
+                retryAtS = nowS + Constants.UNSERVED_TXN_RETRY_S;
             }
             default -> {
                 // It may have been executed or yet be: only the same change again gives a definite answer.
-                if (answer.sent()) {
+                if (answer.requestSent()) {
                     unknown = true;
                 } else if (!unknown) {
                     settled();
                 }
-                retryAtS = nowS + Constants.UNANSWERED_CHANGE_S;
+                retryAtS = nowS + Constants.UNANSWERED_TXN_RETRY_S;
             }
         }
     }
@@ -307,7 +307,7 @@
                 persisted(item, epoch);
             }
         }
-        reservations.stored(epoch);
+        reservations.recordStored(epoch);
         for (int i = 0; i < orphansInFlight; i++) {
             orphans.poll();
         }
@@ -322,37 +322,37 @@
             return;
         }
         if (!item.own) {
-            job.staged(item.parts, item.version);
+            job.markStaged(item.parts, item.version);
             return;
         }
-        job.stamp = Math.max(job.stamp, stamp);
+        job.revision = Math.max(job.revision, stamp);
         job.writeId = item.writeId;
-        job.persisted(item.parts, item.version);
-        if (job.dirty()) {
+        job.markPersisted(item.parts, item.version);
+        if (job.isDirty()) {
             job.dirtySinceS = term.nowS();
         } else {
             job.dirtySinceS = Double.NaN;
-            job.urgent = false;
+            job.writeUrgent = false;
         }
     }
 
     /** The job has moved to the finished ones; {@code known} whether its outcome is. */
     private void over(Job job, boolean known, boolean done, long stamp) {
         String id = job.spec.id();
-        for (int part = 1; part < job.parts(); part++) {
-            orphans.add(RecordCodec.partKey(id, part));
+        for (int part = 1; part < job.recordCount(); part++) {
+            orphans.add(JobRecordCodec.partKey(id, part));
         }
-        job.leftover.stream().forEach(part -> orphans.add(RecordCodec.partKey(id, part)));
-        term.cluster.finished(job, stamp);
+        job.orphanedParts.stream().forEach(part -> orphans.add(JobRecordCodec.partKey(id, part)));
+        term.cluster.removeFinishedJob(job, stamp);
         if (known) {
-            finished.finished(job, done);
+            finished.onJobFinished(job, done);
         }
     }
 
     private void settled() {
         inFlight = null;
         change = null;
-        reservations.skip();
+        reservations.clearInFlight();
         unknown = false;
     }
 
@@ -361,18 +361,18 @@
      * from being written; of several, each is tried by itself. Only the leader key and the watch tell of a new leader.
      */
     private void refused(double nowS) {
-        retryAtS = nowS + Constants.REFUSED_CHANGE_PAUSE_S;
-        boolean more = reservations.pending() || orphansInFlight > 0;
+        retryAtS = nowS + Constants.REFUSED_TXN_PAUSE_S;
+        boolean more = reservations.isWriteInFlight() || orphansInFlight > 0;
         if (inFlight.size() > 1 || !inFlight.isEmpty() && more) {
             oneByOne = Math.max(oneByOne, inFlight.size());
         } else if (inFlight.size() == 1) {
             Job job = inFlight.get(0).job;
-            refusedUntil.put(job.spec.id(), nowS + Constants.REFUSED_CHANGE_S);
+            refusedUntil.put(job.spec.id(), nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
             if (!unknown) {
-                term.cluster.withdraw(job, nowS + Constants.REFUSED_CHANGE_S);
+                term.cluster.dropUnpersistedPlacements(job, nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
             }
         } else {
-            reservations.refused(nowS);
+            reservations.recordRefusal(nowS);
             orphans.clear(); // found again by the next leader
         }
     }
@@ -384,9 +384,9 @@
         }
         waiting = true;
         ArrayDeque<Item> left = new ArrayDeque<>(inFlight);
-        if (reservations.pending()) {
-            retryAtS = nowS + Constants.STALE_RESERVATION_S; // the watch shows the jobs' records meanwhile
-            reservations.reread(() -> readBack(left));
+        if (reservations.isWriteInFlight()) {
+            retryAtS = nowS + Constants.STALE_RESERVATION_RETRY_S; // the watch shows the jobs' records meanwhile
+            reservations.reload(() -> readBack(left));
         } else {
             readBack(left);
         }
@@ -400,19 +400,19 @@
             return;
         }
         String id = left.peek().job.spec.id();
-        state.get(StateKeys.LIVE + id, Constants.STATE_TIMEOUT_MS, answer -> {
-            if (term.ended()) {
+        state.get(StateKeys.LIVE_JOBS + id, Constants.STATE_TIMEOUT_MS, answer -> {
+            if (term.hasEnded()) {
                 return;
             }
             if (answer.status() == 200) {
-                Map<String, Object> record = Fields.map(answer.body().get("v"));
-                records.record(id, record, Fields.num(answer.body(), "stamp", 0), term.nowS());
+                Map<String, Object> record = Fields.asMap(answer.body().get("v"));
+                records.applyRecord(id, record, Fields.getLong(answer.body(), "stamp", 0), term.nowS());
                 left.poll();
                 readBack(left);
             } else if (answer.status() == 404) {
                 readFinal(left);
             } else {
-                term.later(() -> readBack(left), Constants.READ_BACK_RETRY_MS);
+                term.runLater(() -> readBack(left), Constants.READ_BACK_RETRY_MS);
             }
         });
     }
@@ -424,21 +424,22 @@
     private void readFinal(ArrayDeque<Item> left) {
         Job job = left.peek().job;
         String id = job.spec.id();
-        state.get(StateKeys.FINAL + id, Constants.STATE_TIMEOUT_MS, answer -> {
-            if (term.ended()) {
+        state.get(StateKeys.FINAL_RECORDS + id, Constants.STATE_TIMEOUT_MS, answer -> {
+            if (term.hasEnded()) {
                 return;
             }
             boolean known = answer.status() == 200;
             if (!known && answer.status() != 404) {
-                term.later(() -> readBack(left), Constants.READ_BACK_RETRY_MS);
+                term.runLater(() -> readBack(left), Constants.READ_BACK_RETRY_MS);
                 return;
             }
             if (!known) {
                 LOG.error("record of {} is gone", id);
             }
             if (term.cluster.jobs.get(id) == job) {
-                boolean done = known && Fields.bool(Fields.map(answer.body().get("v")), "done");
-                over(job, known, done, Fields.num(answer.body(), known ? "stamp" : "epoch", job.stamp));
+                boolean done =
+                        known && Fields.getBoolean(Fields.asMap(answer.body().get("v")), "done");
+                over(job, known, done, Fields.getLong(answer.body(), known ? "stamp" : "epoch", job.revision));
             }
             left.poll();
             readBack(left);
--- a/src/main/java/org/mountlug/node/ReportCount.java
+++ b/src/main/java/org/mountlug/node/ReportCounter.java
@@ -1,11 +1,11 @@
 package org.mountlug.node;
 
 /** How many workers' reports came within the last seconds, by the second. */
-final class ReportCount {
+final class ReportCounter {
     private final int[] counts;
     private long second = Long.MIN_VALUE;
 
-    ReportCount(double windowS) {
+    ReportCounter(double windowS) {
         this.counts = new int[(int) Math.ceil(windowS) + 1];
     }
 
@@ -20,13 +20,13 @@
         second = Math.max(second, s);
     }
 
-    void add(double nowS) {
+    void recordReport(double nowS) {
         turnTo(nowS);
         counts[(int) (second % counts.length)]++;
     }
 
     /** Reports within the window and up to a second more. */
-    int lately(double nowS) {
+    int recentCount(double nowS) {
         turnTo(nowS);
         int n = 0;
         for (int c : counts) {
