--- a/src/main/java/org/mountlug/node/ReservationWatch.java
+++ b/src/main/java/org/mountlug/node/ReservationWatch.java
@@ -31,23 +31,23 @@
             return;
         }
         watching = true;
-        nextS = now + Constants.RESERVATIONS_PAUSE_MS / 1000.0;
+        nextS = now + Constants.RESERVATION_WATCH_PAUSE_MS / 1000.0;
         if (from < 0) {
-            state.list(StateKeys.RESERVED, null, a -> {
+            state.list(StateKeys.RESERVATIONS, null, a -> {
                 watching = false;
                 if (a.status() != 200) {
                     return;
                 }
                 reserved.clear();
-                for (Object o : Fields.list(a.body(), "rows")) {
-                    reserved.add(Fields.str(Fields.map(o), "k"));
+                for (Object o : Fields.getList(a.body(), "rows")) {
+                    reserved.add(Fields.getString(Fields.asMap(o), "k"));
                 }
-                from = Fields.num(a.body(), "epoch", 0);
-                metrics.reserved(reserved.size());
+                from = Fields.getLong(a.body(), "epoch", 0);
+                metrics.setReservationCount(reserved.size());
             });
             return;
         }
-        state.watch(StateKeys.RESERVED, from, Constants.WATCH_BLOCK_MS, a -> {
+        state.watch(StateKeys.RESERVATIONS, from, Constants.WATCH_BLOCK_MS, a -> {
             watching = false;
             if (a.status() == 410) {
                 from = -1;
@@ -55,17 +55,17 @@
             if (a.status() != 200) {
                 return;
             }
-            from = Math.max(from, Fields.num(a.body(), "epoch", 0));
-            for (Object o : Fields.list(a.body(), "news")) {
-                Map<String, Object> e = Fields.map(o);
-                String put = Fields.str(e, "put");
+            from = Math.max(from, Fields.getLong(a.body(), "epoch", 0));
+            for (Object o : Fields.getList(a.body(), "news")) {
+                Map<String, Object> e = Fields.asMap(o);
+                String put = Fields.getString(e, "put");
                 if (put != null) {
                     reserved.add(put);
                 } else {
-                    reserved.remove(Fields.str(e, "delete"));
+                    reserved.remove(Fields.getString(e, "delete"));
                 }
             }
-            metrics.reserved(reserved.size());
+            metrics.setReservationCount(reserved.size());
         });
     }
 }
--- a/src/main/java/org/mountlug/node/ReservationWriter.java
+++ b/src/main/java/org/mountlug/node/ReservationWriter.java
@@ -7,9 +7,9 @@
 import org.mountlug.Constants;
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.Reservation;
-import org.mountlug.store.Change;
 import org.mountlug.store.ReservationCodec;
 import org.mountlug.store.StateKeys;
+import org.mountlug.store.Transaction;
 
 /** Keeps the stored reservations equal to the leader's: which of them go into a transaction, and what became of that. */
 final class ReservationWriter {
@@ -26,7 +26,7 @@
     }
 
     /** What an earlier leader has stored. */
-    void loaded(Map<String, List<Reservation>> byJob, Map<String, Long> revisions) {
+    void restore(Map<String, List<Reservation>> byJob, Map<String, Long> revisions) {
         byJob.forEach((id, reservations) -> {
             written.put(id, reservations);
             if (term.cluster.jobs.containsKey(id)) {
@@ -37,12 +37,12 @@
     }
 
     /** Whether reservations are part of the transaction on its way. */
-    boolean pending() {
+    boolean isWriteInFlight() {
         return inFlight != null;
     }
 
     /** Adds changed reservations to a transaction; returns how many writes that takes. */
-    int add(Change change, int room, double nowS) {
+    int addChangesTo(Transaction change, int room, double nowS) {
         inFlight = null;
         if (nowS < againS || term.cluster.reservations.equals(written)) {
             return 0;
@@ -54,7 +54,7 @@
                 continue;
             }
             guard(change, id);
-            change.delete(StateKeys.RESERVED + id);
+            change.delete(StateKeys.RESERVATIONS + id);
             next.remove(id);
             used++;
         }
@@ -62,7 +62,7 @@
         return used;
     }
 
-    private int put(Change change, int room, Map<String, List<Reservation>> next) {
+    private int put(Transaction change, int room, Map<String, List<Reservation>> next) {
         int used = 0;
         for (Map.Entry<String, List<Reservation>> entry : term.cluster.reservations.entrySet()) {
             String id = entry.getKey();
@@ -71,8 +71,8 @@
                 continue;
             }
             guard(change, id);
-            change.guard(StateKeys.LIVE + id, job.stamp);
-            change.put(StateKeys.RESERVED + id, ReservationCodec.write(entry.getValue(), term.valueChars()));
+            change.requireRevision(StateKeys.LIVE_JOBS + id, job.revision);
+            change.put(StateKeys.RESERVATIONS + id, ReservationCodec.write(entry.getValue(), term.maxValueChars()));
             next.put(id, entry.getValue());
             used++;
         }
@@ -83,17 +83,17 @@
      * The leader key alone would let a change that is carried out late replace a newer one of the same term. As the key
      * comes and goes, a put is guarded by the job's record too, which moves on when the job is placed.
      */
-    private void guard(Change change, String id) {
-        change.guard(StateKeys.RESERVED + id, stamps.getOrDefault(id, 0L));
+    private void guard(Transaction change, String id) {
+        change.requireRevision(StateKeys.RESERVATIONS + id, stamps.getOrDefault(id, 0L));
     }
 
     /** Nothing is added to the next transaction. */
-    void skip() {
+    void clearInFlight() {
         inFlight = null;
     }
 
     /** The transaction on its way was carried out: what it changed has this revision. */
-    void stored(long epoch) {
+    void recordStored(long epoch) {
         if (inFlight == null) {
             return;
         }
@@ -107,23 +107,23 @@
     }
 
     /** The transaction on its way was refused for good, and for no job's fault. */
-    void refused(double nowS) {
-        againS = nowS + Constants.REFUSED_CHANGE_S;
+    void recordRefusal(double nowS) {
+        againS = nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S;
     }
 
     /** After a failed condition: what is stored is read anew, as the failed change may have been carried out before. */
-    void reread(Runnable then) {
-        term.environment.state().list(StateKeys.RESERVED, null, answer -> {
-            if (term.ended()) {
+    void reload(Runnable then) {
+        term.environment.state().list(StateKeys.RESERVATIONS, null, answer -> {
+            if (term.hasEnded()) {
                 return;
             }
             if (answer.status() != 200) {
-                term.later(() -> reread(then), Constants.READ_BACK_RETRY_MS);
+                term.runLater(() -> reload(then), Constants.READ_BACK_RETRY_MS);
                 return;
             }
             written = new HashMap<>();
             stamps.clear();
-            LiveRecords.reservations(answer.body(), (byJob, revisions) -> {
+            JobRecordWatch.parseReservations(answer.body(), (byJob, revisions) -> {
                 written.putAll(byJob);
                 stamps.putAll(revisions);
             });
--- a/src/main/java/org/mountlug/node/StoredReportCounts.java
+++ b/src/main/java/org/mountlug/node/StoredReportCounts.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.mountlug.Constants;
-import org.mountlug.store.Change;
 import org.mountlug.store.StateClient;
 import org.mountlug.store.StateKeys;
+import org.mountlug.store.Transaction;
 import org.mountlug.wire.Fields;
 
 /**
@@ -39,11 +39,13 @@
             return;
         }
         busy = true;
-        nextS = nowS + Constants.STORED_COUNTS_S;
+        nextS = nowS + Constants.STORED_COUNTS_INTERVAL_S;
         Map<String, Object> value = new LinkedHashMap<>();
         value.put("n", (long) reports);
         value.put("t", leaderToken);
-        Change change = new Change().guard(StateKeys.LEADER, leaderToken).put(StateKeys.REPORT_COUNTS + label, value);
+        Transaction change = new Transaction()
+                .requireRevision(StateKeys.LEADER, leaderToken)
+                .put(StateKeys.REPORT_COUNTS + label, value);
         state.commit(change, answer -> busy = false);
     }
 
@@ -53,7 +55,7 @@
             return;
         }
         busy = true;
-        nextS = nowS + Constants.STORED_COUNTS_S + Constants.STORED_COUNTS_MARGIN_S;
+        nextS = nowS + Constants.STORED_COUNTS_INTERVAL_S + Constants.STORED_COUNTS_MARGIN_S;
         state.list(StateKeys.REPORT_COUNTS, null, answer -> {
             busy = false;
             if (answer.status() != 200) {
@@ -65,14 +67,14 @@
                 term = token;
             }
             int sum = 0;
-            for (Object row : Fields.list(answer.body(), "rows")) {
-                Map<String, Object> r = Fields.map(row);
-                Map<String, Object> value = Fields.map(r.get("v"));
-                long stamp = Fields.num(r, "stamp", 0);
-                Long before = stamps.put(Fields.str(r, "k", ""), stamp);
+            for (Object row : Fields.getList(answer.body(), "rows")) {
+                Map<String, Object> r = Fields.asMap(row);
+                Map<String, Object> value = Fields.asMap(r.get("v"));
+                long stamp = Fields.getLong(r, "stamp", 0);
+                Long before = stamps.put(Fields.getString(r, "k", ""), stamp);
                 boolean anew = !first && (before == null || before < stamp);
-                if (anew && Fields.num(value, "t", -1) == token) {
-                    sum += (int) Fields.num(value, "n", 0);
+                if (anew && Fields.getLong(value, "t", -1) == token) {
+                    sum += (int) Fields.getLong(value, "n", 0);
                 }
             }
             elsewhere = sum;
@@ -81,7 +83,7 @@
     }
 
     /** How many reports came to the others, as far as lately read. */
-    int elsewhere(double nowS) {
-        return nowS - readS < 2 * Constants.STORED_COUNTS_S ? elsewhere : 0;
+    int peerReportCount(double nowS) {
+        return nowS - readS < 2 * Constants.STORED_COUNTS_INTERVAL_S ? elsewhere : 0;
     }
 }
--- a/src/main/java/org/mountlug/node/VersionAnnouncement.java
+++ b/src/main/java/org/mountlug/node/VersionAnnouncer.java
@@ -2,25 +2,25 @@
 
 import java.util.Map;
 import org.mountlug.Constants;
-import org.mountlug.store.Change;
 import org.mountlug.store.StateClient;
 import org.mountlug.store.StateKeys;
+import org.mountlug.store.Transaction;
 import org.mountlug.store.VersionCodec;
 import org.mountlug.wire.Fields;
 
 /**
  * Writes down, once in a life, which records this process reads. Leaders write what older versions do not know only when
- * every controller has, see {@link RecordLayout}; so it stays when the process ends, and whoever starts an older version
+ * every controller has, see {@link RecordSplitter}; so it stays when the process ends, and whoever starts an older version
  * again deletes it first.
  */
-final class VersionAnnouncement {
+final class VersionAnnouncer {
     private final StateClient state;
     private final String label;
     private boolean announced;
     private boolean announcing;
     private double nextS;
 
-    VersionAnnouncement(StateClient state, String label) {
+    VersionAnnouncer(StateClient state, String label) {
         this.state = state;
         this.label = label;
     }
@@ -31,10 +31,10 @@
             return;
         }
         announcing = true;
-        nextS = now + Constants.ANNOUNCE_MS / 1000.0;
+        nextS = now + Constants.VERSION_ANNOUNCE_RETRY_MS / 1000.0;
         String key = StateKeys.VERSIONS + label;
         state.get(key, Constants.STATE_TIMEOUT_MS, a -> {
-            Map<String, Object> written = Fields.map(a.body().get("v"));
+            Map<String, Object> written = Fields.asMap(a.body().get("v"));
             if (a.status() == 200 && VersionCodec.readsParts(written) && VersionCodec.readsZones(written)) {
                 announced = true;
             }
@@ -43,7 +43,10 @@
                 return;
             }
             state.commit(
-                    new Change().guard(key, Fields.num(a.body(), "stamp", 0)).put(key, VersionCodec.announce()), b -> {
+                    new Transaction()
+                            .requireRevision(key, Fields.getLong(a.body(), "stamp", 0))
+                            .put(key, VersionCodec.announcement()),
+                    b -> {
                         announcing = false;
                         announced = b.status() == 200;
                     });
--- a/src/main/java/org/mountlug/peer/PeerCodec.java
+++ b/src/main/java/org/mountlug/peer/PeerCodec.java
@@ -13,7 +13,7 @@
  */
 public final class PeerCodec {
     /** Bytes; more ids than fit are told as an overflow. */
-    public static final int FRAME_MAX = 4096;
+    public static final int FRAME_MAX_BYTES = 4096;
     /** Bytes of the longest id that fits; a longer one is told as an overflow. */
     private static final int ID_MAX = 127;
     /** Bytes of the longest name of a team or class that is told. */
@@ -27,50 +27,58 @@
      * {@code overflow}, {@code reports} how many workers' reports have lately come to it, {@code demand} what it was asked to
      * take in, the busiest queues only if not all fit.
      */
-    public record Answer(
-            long serial,
-            long boot,
-            boolean served,
+    public record StatusResponse(
+            long requestId,
+            long incarnation,
+            boolean stateAvailable,
             long token,
-            int reports,
-            boolean overflow,
-            List<String> aborts,
+            int recentReports,
+            boolean cancellationsTruncated,
+            List<String> cancellations,
             List<QueueDemand> demand) {
         /** An answer that tells nothing of demand. */
-        public Answer(
-                long serial,
-                long boot,
-                boolean served,
+        public StatusResponse(
+                long requestId,
+                long incarnation,
+                boolean stateAvailable,
                 long token,
-                int reports,
-                boolean overflow,
-                List<String> aborts) {
-            this(serial, boot, served, token, reports, overflow, aborts, List.of());
+                int recentReports,
+                boolean cancellationsTruncated,
+                List<String> cancellations) {
+            this(
+                    requestId,
+                    incarnation,
+                    stateAvailable,
+                    token,
+                    recentReports,
+                    cancellationsTruncated,
+                    cancellations,
+                    List.of());
         }
     }
 
     private PeerCodec() {}
 
     /** A frame that asks a peer about itself. */
-    public static ByteBuffer question(long serial) {
+    public static ByteBuffer writeRequest(long requestId) {
         ByteBuffer b = ByteBuffer.allocate(12);
-        b.putInt(8).putLong(serial).flip();
+        b.putInt(8).putLong(requestId).flip();
         return b;
     }
 
     /** A frame that answers a question. */
-    public static ByteBuffer answer(Answer a) {
-        ByteBuffer b = ByteBuffer.allocate(FRAME_MAX);
+    public static ByteBuffer writeResponse(StatusResponse a) {
+        ByteBuffer b = ByteBuffer.allocate(FRAME_MAX_BYTES);
         b.putInt(0)
-                .putLong(a.serial())
-                .putLong(a.boot())
-                .put((byte) (a.served() ? 1 : 0))
+                .putLong(a.requestId())
+                .putLong(a.incarnation())
+                .put((byte) (a.stateAvailable() ? 1 : 0))
                 .putLong(a.token())
-                .putInt(a.reports());
+                .putInt(a.recentReports());
         int counted = b.position();
         b.put((byte) 0).putShort((short) 0);
         int n = 0;
-        for (String s : a.aborts()) {
+        for (String s : a.cancellations()) {
             byte[] id = s.getBytes(StandardCharsets.US_ASCII);
             if (id.length > ID_MAX || b.remaining() < id.length + 1) {
                 continue;
@@ -78,7 +86,9 @@
             b.put((byte) id.length).put(id);
             n++;
         }
-        b.put(counted, (byte) (a.overflow() || n < a.aborts().size() ? 1 : 0)).putShort(counted + 1, (short) n);
+        b.put(counted, (byte)
+                        (a.cancellationsTruncated() || n < a.cancellations().size() ? 1 : 0))
+                .putShort(counted + 1, (short) n);
         putDemand(b, a.demand());
         b.putInt(0, b.position() - 4);
         return b.flip();
@@ -94,7 +104,7 @@
                 continue;
             }
             frame.put((byte) team.length).put(team).put((byte) jobClass.length).put(jobClass);
-            frame.putInt(counted.asked()).putInt(counted.met()).putInt(counted.refused());
+            frame.putInt(counted.submissions()).putInt(counted.arrivals()).putInt(counted.throttled());
         }
     }
 
@@ -114,12 +124,12 @@
     }
 
     /** The next whole frame's payload, or null if more bytes are needed; throws on a frame that cannot be ours. */
-    public static ByteBuffer next(ByteBuffer in) {
+    public static ByteBuffer nextFrame(ByteBuffer in) {
         if (in.remaining() < 4) {
             return null;
         }
         int n = in.getInt(in.position());
-        if (n < 8 || n > FRAME_MAX - 4) {
+        if (n < 8 || n > FRAME_MAX_BYTES - 4) {
             throw new IllegalArgumentException("frame of " + n + " bytes");
         }
         if (in.remaining() < 4 + n) {
@@ -131,7 +141,7 @@
     }
 
     /** Reads the payload of an answer. */
-    public static Answer answer(ByteBuffer f) {
+    public static StatusResponse readResponse(ByteBuffer f) {
         long serial = f.getLong();
         long boot = f.getLong();
         boolean served = f.get() != 0;
@@ -145,6 +155,6 @@
             f.get(id);
             ids.add(new String(id, StandardCharsets.US_ASCII));
         }
-        return new Answer(serial, boot, served, token, reports, overflow, ids, demand(f));
+        return new StatusResponse(serial, boot, served, token, reports, overflow, ids, demand(f));
     }
 }
--- a/src/main/java/org/mountlug/peer/Peers.java
+++ b/src/main/java/org/mountlug/peer/PeerConnections.java
@@ -29,14 +29,14 @@
  * Connections to the other controllers: one a peer, one question in flight, asked once a second. A peer that does not
  * answer in time loses its connection, so a silent one costs a socket and nothing else.
  */
-public final class Peers {
-    private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
+public final class PeerConnections {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerConnections.class);
 
     private final XnioWorker worker;
     private final XnioIoThread io;
     private final DoubleSupplier clockS;
-    private final LongFunction<PeerCodec.Answer> self;
-    private final BiConsumer<String, Heard> heard;
+    private final LongFunction<PeerCodec.StatusResponse> self;
+    private final BiConsumer<String, TimedResponse> heard;
     private final Consumer<String> refused;
     private final List<Link> links = new ArrayList<>();
     private final Set<StreamConnection> accepted = new HashSet<>();
@@ -45,16 +45,16 @@
     private boolean closed;
 
     /** An answer and when its question was sent. */
-    public record Heard(double askedS, PeerCodec.Answer answer) {}
+    public record TimedResponse(double requestedS, PeerCodec.StatusResponse response) {}
 
     /** Connects to the other controllers, given by label and address. */
-    public Peers(
+    public PeerConnections(
             XnioWorker worker,
             XnioIoThread io,
             DoubleSupplier clockS,
             Map<String, String> others,
-            LongFunction<PeerCodec.Answer> self,
-            BiConsumer<String, Heard> heard,
+            LongFunction<PeerCodec.StatusResponse> self,
+            BiConsumer<String, TimedResponse> heard,
             Consumer<String> refused) {
         this.worker = worker;
         this.io = io;
@@ -100,25 +100,25 @@
 
     private void serve(StreamConnection c) {
         // Each of the others has one connection, and perhaps a dead one not yet noticed.
-        if (accepted.size() >= Constants.PEER_ACCEPTED * Math.max(1, links.size())) {
+        if (accepted.size() >= Constants.MAX_ACCEPTED_PER_PEER * Math.max(1, links.size())) {
             StreamConnection oldest = accepted.iterator().next();
             accepted.remove(oldest);
             IoUtils.safeClose(oldest);
         }
         accepted.add(c);
         c.setCloseListener(x -> accepted.remove(c));
-        reading(c, f -> write(c, PeerCodec.answer(self.apply(f.getLong()))));
+        reading(c, f -> write(c, PeerCodec.writeResponse(self.apply(f.getLong()))));
     }
 
     private static void reading(StreamConnection c, Consumer<ByteBuffer> frames) {
-        ByteBuffer in = ByteBuffer.allocate(2 * PeerCodec.FRAME_MAX);
+        ByteBuffer in = ByteBuffer.allocate(2 * PeerCodec.FRAME_MAX_BYTES);
         c.getSourceChannel().setReadListener(ch -> {
             try {
                 int n;
                 while ((n = ch.read(in)) > 0) {
                     in.flip();
                     ByteBuffer f;
-                    while ((f = PeerCodec.next(in)) != null) {
+                    while ((f = PeerCodec.nextFrame(in)) != null) {
                         frames.accept(f);
                     }
                     in.compact();
@@ -151,7 +151,7 @@
     }
 
     /** Asks every peer; to be called about once a second. */
-    public void ask() {
+    public void requestStatus() {
         for (Link l : links) {
             l.ask();
         }
@@ -240,7 +240,7 @@
 
         void refused() {
             refused.accept(label);
-            if (closed || ++refusals > Constants.REFUSALS_ENDED) {
+            if (closed || ++refusals > Constants.PEER_ENDED_REFUSALS) {
                 return;
             }
             // What the others say now tells an ended process from a filter.
@@ -249,20 +249,20 @@
                     l.ask();
                 }
             }
-            io.executeAfter(this::ask, Constants.REFUSED_RETRY_MS, TimeUnit.MILLISECONDS);
+            io.executeAfter(this::ask, Constants.PEER_REFUSED_RETRY_MS, TimeUnit.MILLISECONDS);
         }
 
         void send() {
             sinceS = clockS.getAsDouble();
             waitingFor = ++serial;
-            if (!write(connection, PeerCodec.question(serial))) {
+            if (!write(connection, PeerCodec.writeRequest(serial))) {
                 close();
             }
         }
 
         void frame(ByteBuffer f) {
-            PeerCodec.Answer a = PeerCodec.answer(f);
-            if (a.serial() != waitingFor) {
+            PeerCodec.StatusResponse a = PeerCodec.readResponse(f);
+            if (a.requestId() != waitingFor) {
                 return;
             }
             waitingFor = 0;
@@ -270,7 +270,7 @@
             if (clockS.getAsDouble() - sinceS > Constants.PEER_TIMEOUT_MS / 1000.0) {
                 return;
             }
-            heard.accept(label, new Heard(sinceS, a));
+            heard.accept(label, new TimedResponse(sinceS, a));
         }
     }
 }
--- a/src/main/java/org/mountlug/peer/PeerView.java
+++ b/src/main/java/org/mountlug/peer/PeerView.java
@@ -41,7 +41,7 @@
     }
 
     /** This node is about to tell a user that the job is cancelled. */
-    public synchronized void cancelled(String id, double nowS) {
+    public synchronized void recordCancellation(String id, double nowS) {
         while (!aborts.isEmpty() && nowS - aborts.peekFirst().atS() > keepS) {
             aborts.pollFirst();
         }
@@ -55,7 +55,7 @@
     }
 
     /** The cancellations that this controller has to list now. */
-    public synchronized List<String> aborts(double nowS) {
+    public synchronized List<String> recentCancellations(double nowS) {
         List<String> l = new ArrayList<>();
         for (Abort a : aborts) {
             if (nowS - a.atS() <= keepS) {
@@ -66,29 +66,32 @@
     }
 
     /** A peer has answered a question that was asked at {@code askedS}. */
-    public synchronized void answered(String peer, double askedS, double nowS, PeerCodec.Answer a) {
+    public synchronized void recordResponse(String peer, double askedS, double nowS, PeerCodec.StatusResponse a) {
         PeerStatus k = known.get(peer);
         // Aborts are listed for keepS only, so a longer gap, like a new process or an overflow, starts anew.
-        boolean goesOn = k != null && k.boot() == a.boot() && !a.overflow() && nowS - k.untilS() < keepS / 2;
-        double peak = k == null ? 0 : k.reportsPeak() * Constants.REPORTS_PEAK_KEPT;
+        boolean goesOn = k != null
+                && k.boot() == a.incarnation()
+                && !a.cancellationsTruncated()
+                && nowS - k.untilS() < keepS / 2;
+        double peak = k == null ? 0 : k.reportsPeak() * Constants.REPORT_PEAK_DECAY;
         known.put(
                 peer,
                 new PeerStatus(
-                        a.boot(),
+                        a.incarnation(),
                         goesOn ? k.sinceS() : askedS,
                         askedS,
-                        a.served(),
+                        a.stateAvailable(),
                         nowS,
                         a.token(),
-                        a.reports(),
-                        Math.max(peak, a.reports())));
+                        a.recentReports(),
+                        Math.max(peak, a.recentReports())));
     }
 
     /**
      * The steady seconds up to which all aborts are known, given that they are up to {@code viewS} by the state
      * service: later only if every peer's answers reach back to that time without a gap.
      */
-    public synchronized double knownUntilS(double viewS, double nowS) {
+    public synchronized double cancellationsKnownUntilS(double viewS, double nowS) {
         double until = nowS;
         for (String p : peers) {
             PeerStatus k = known.get(p);
@@ -101,7 +104,7 @@
     }
 
     /** Whether every peer has answered a question that was asked since then. */
-    public synchronized boolean allAnsweredSince(double sinceS) {
+    public synchronized boolean haveAllRespondedSince(double sinceS) {
         for (String p : peers) {
             PeerStatus k = known.get(p);
             if (k == null || k.untilS() < sinceS) {
@@ -112,9 +115,9 @@
     }
 
     /** A connection to the peer was refused: nobody listens there, or a filter stands between. */
-    public synchronized void refused(String peer, double nowS) {
+    public synchronized void recordRefusedConnection(String peer, double nowS) {
         Refusal r = refusals.get(peer);
-        if (r == null || nowS - r.lastS() > Constants.REFUSED_ANEW_S) {
+        if (r == null || nowS - r.lastS() > Constants.PEER_REFUSAL_WINDOW_S) {
             refusals.put(peer, new Refusal(nowS, nowS, 1));
         } else {
             refusals.put(peer, new Refusal(r.sinceS(), nowS, r.count() + 1));
@@ -125,9 +128,11 @@
      * Whether the peer's process has ended, as far as can be told: it refuses again and again, while most of the others
      * have answered since it began to. Where the others refuse too, it is rather a filter between us.
      */
-    public synchronized boolean ended(String peer, double nowS) {
+    public synchronized boolean hasProcessEnded(String peer, double nowS) {
         Refusal r = refusals.get(peer);
-        if (r == null || r.count() < Constants.REFUSALS_ENDED || nowS - r.lastS() > Constants.REFUSED_ANEW_S) {
+        if (r == null
+                || r.count() < Constants.PEER_ENDED_REFUSALS
+                || nowS - r.lastS() > Constants.PEER_REFUSAL_WINDOW_S) {
             return false;
         }
         PeerStatus it = known.get(peer);
@@ -145,15 +150,15 @@
     }
 
     /** Whether this peer has answered lately. */
-    public synchronized boolean heardLately(String peer, double nowS) {
+    public synchronized boolean hasRespondedRecently(String peer, double nowS) {
         PeerStatus k = known.get(peer);
-        return k != null && nowS - k.heardS() < Constants.PEER_FRESH_S;
+        return k != null && nowS - k.heardS() < Constants.PEER_RESPONSE_VALID_S;
     }
 
     /** Whether every peer has answered lately. */
-    public synchronized boolean allHeardLately(double nowS) {
+    public synchronized boolean haveAllRespondedRecently(double nowS) {
         for (String p : peers) {
-            if (!heardLately(p, nowS)) {
+            if (!hasRespondedRecently(p, nowS)) {
                 return false;
             }
         }
@@ -161,9 +166,9 @@
     }
 
     /** Whether some peer said lately that the state service serves it. */
-    public synchronized boolean anyServed(double nowS) {
+    public synchronized boolean isStateAvailableToAnyPeer(double nowS) {
         for (PeerStatus k : known.values()) {
-            if (k.served() && nowS - k.heardS() < Constants.PEER_FRESH_S) {
+            if (k.served() && nowS - k.heardS() < Constants.PEER_RESPONSE_VALID_S) {
                 return true;
             }
         }
@@ -171,10 +176,10 @@
     }
 
     /** How many workers' reports have lately come to the peers. */
-    public synchronized int reportsElsewhere(double nowS) {
+    public synchronized int recentPeerReportCount(double nowS) {
         int n = 0;
         for (PeerStatus k : known.values()) {
-            if (nowS - k.heardS() < Constants.PEER_FRESH_S) {
+            if (nowS - k.heardS() < Constants.PEER_RESPONSE_VALID_S) {
                 n += k.reports();
             }
         }
@@ -182,15 +187,15 @@
     }
 
     /** Whether next to no report comes to this peer any more, by its own word, while many did some seconds before. */
-    public synchronized boolean reportsCeased(String peer, double nowS) {
+    public synchronized boolean haveReportsCeased(String peer, double nowS) {
         PeerStatus k = known.get(peer);
-        return heardLately(peer, nowS)
-                && k.reportsPeak() >= Constants.MISSED_LEAST
-                && k.reports() <= k.reportsPeak() * Constants.MISSED_HEARS;
+        return hasRespondedRecently(peer, nowS)
+                && k.reportsPeak() >= Constants.ISOLATION_MIN_REPORTS
+                && k.reports() <= k.reportsPeak() * Constants.ISOLATION_OWN_REPORT_SHARE;
     }
 
     /** The highest leader's token that a peer knows of. */
-    public synchronized long highestToken() {
+    public synchronized long highestKnownToken() {
         long t = 0;
         for (PeerStatus k : known.values()) {
             t = Math.max(t, k.token());
--- a/src/main/java/org/mountlug/settings/AdmissionSettingsReader.java
+++ b/src/main/java/org/mountlug/settings/AdmissionSettingsReader.java
@@ -15,22 +15,22 @@
     private AdmissionSettingsReader() {}
 
     /** Reads the section; without one, each controller's request budget alone decides. */
-    static AdmissionSettings read(Object section) throws Settings.Invalid {
+    static AdmissionSettings read(Object section) throws Settings.InvalidSettingException {
         if (section == null) {
             return AdmissionSettings.disabled();
         }
-        OperatorFields fields = OperatorFields.of(SECTION, section, Set.of(ENABLED, STALE_VIEW_S));
+        SettingsSection fields = SettingsSection.of(SECTION, section, Set.of(ENABLED, STALE_VIEW_S));
         return new AdmissionSettings(
-                fields.yesOrNo(ENABLED, true),
+                fields.bool(ENABLED, true),
                 fields.number(
                         STALE_VIEW_S,
-                        Constants.Admission.STALE_VIEW_LEAST_S,
-                        Constants.Admission.STALE_VIEW_MOST_S,
+                        Constants.Admission.MIN_STALE_VIEW_S,
+                        Constants.Admission.MAX_STALE_VIEW_S,
                         Constants.Admission.STALE_VIEW_S));
     }
 
     /** The section as it is in force, for operators to read. */
-    static Map<String, Object> inForce(AdmissionSettings admission) {
-        return Fields.ordered(ENABLED, admission.enabled(), STALE_VIEW_S, admission.staleViewS());
+    static Map<String, Object> effectiveValues(AdmissionSettings admission) {
+        return Fields.orderedMap(ENABLED, admission.enabled(), STALE_VIEW_S, admission.staleViewS());
     }
 }
--- a/src/main/java/org/mountlug/settings/Operators.java
+++ b/src/main/java/org/mountlug/settings/OperatorSettings.java
@@ -20,9 +20,9 @@
  * The operators' own settings, in YAML beside the platform's file. Unlike there, an unknown field is an error: it is
  * a person's typing mistake, not a newer platform. {@code operators.schema.json} describes the same file for editors.
  */
-public record Operators(
-        Map<String, Double> shares,
-        boolean logTimes,
+public record OperatorSettings(
+        Map<String, Double> teamWeights,
+        boolean logTimestamps,
         double idleKeepS,
         double spotRisk,
         ZoneSettings zones,
@@ -32,8 +32,8 @@
     private static final double SPOT_RISK_MOST = 100;
 
     /** The settings without a file. */
-    public static Operators defaults() {
-        return new Operators(
+    public static OperatorSettings defaults() {
+        return new OperatorSettings(
                 Map.of(),
                 false,
                 Constants.IDLE_KEEP_S,
@@ -43,70 +43,71 @@
     }
 
     /** The same settings with others of zones. */
-    public Operators with(ZoneSettings zones) {
-        return new Operators(shares, logTimes, idleKeepS, spotRisk, zones, admission);
+    public OperatorSettings withZones(ZoneSettings zones) {
+        return new OperatorSettings(teamWeights, logTimestamps, idleKeepS, spotRisk, zones, admission);
     }
 
     /** The same settings with others of admission. */
-    public Operators with(AdmissionSettings admission) {
-        return new Operators(shares, logTimes, idleKeepS, spotRisk, zones, admission);
+    public OperatorSettings withAdmission(AdmissionSettings admission) {
+        return new OperatorSettings(teamWeights, logTimestamps, idleKeepS, spotRisk, zones, admission);
     }
 
     /** The same settings with other weights of the teams' queues. */
-    public Operators with(Map<String, Double> shares) {
-        return new Operators(shares, logTimes, idleKeepS, spotRisk, zones, admission);
+    public OperatorSettings withTeamWeights(Map<String, Double> shares) {
+        return new OperatorSettings(shares, logTimestamps, idleKeepS, spotRisk, zones, admission);
     }
 
     /** The weight of a team's queue. */
-    public double share(String team) {
-        return shares.getOrDefault(team, 1.0);
+    public double teamWeight(String team) {
+        return teamWeights.getOrDefault(team, 1.0);
     }
 
     /** Reads and checks the file. */
-    public static Operators load(Path file) throws Settings.Invalid {
+    public static OperatorSettings load(Path file) throws Settings.InvalidSettingException {
         Object content;
         try {
             content = new Load(LoadSettings.builder().setLabel(file.toString()).build())
                     .loadFromString(Files.readString(file));
         } catch (IOException | YamlEngineException e) {
-            throw new Settings.Invalid(file.toString(), "cannot be read as YAML");
+            throw new Settings.InvalidSettingException(file.toString(), "cannot be read as YAML");
         }
         if (content != null && !(content instanceof Map)) {
-            throw new Settings.Invalid(file.toString(), "not a map");
+            throw new Settings.InvalidSettingException(file.toString(), "not a map");
         }
-        return of(Fields.map(content));
+        return of(Fields.asMap(content));
     }
 
     /** Checks settings that were read already. */
-    public static Operators of(Map<String, Object> content) throws Settings.Invalid {
-        OperatorFields root = OperatorFields.of("", content, KNOWN);
-        OperatorFields log = section(root, "log", Set.of("format"));
-        OperatorFields machines = section(root, "machines", Set.of("idle_keep_s", "spot_risk"));
-        return new Operators(
-                shares(root),
-                log.word("format", "plain", "timed").equals("timed"),
+    public static OperatorSettings of(Map<String, Object> content) throws Settings.InvalidSettingException {
+        SettingsSection root = SettingsSection.of("", content, KNOWN);
+        SettingsSection log = section(root, "log", Set.of("format"));
+        SettingsSection machines = section(root, "machines", Set.of("idle_keep_s", "spot_risk"));
+        return new OperatorSettings(
+                teamWeights(root),
+                log.choice("format", "plain", "timed").equals("timed"),
                 machines.number("idle_keep_s", 0, IDLE_KEEP_MOST_S, Constants.IDLE_KEEP_S),
                 machines.number("spot_risk", 1, SPOT_RISK_MOST, Constants.SPOT_RISK),
                 ZoneSettingsReader.read(root.value("zones")),
                 AdmissionSettingsReader.read(root.value("admission")));
     }
 
-    private static OperatorFields section(OperatorFields root, String name, Set<String> known) throws Settings.Invalid {
+    private static SettingsSection section(SettingsSection root, String name, Set<String> known)
+            throws Settings.InvalidSettingException {
         Object section = root.value(name);
-        return OperatorFields.of(name, section == null ? Map.of() : section, known);
+        return SettingsSection.of(name, section == null ? Map.of() : section, known);
     }
 
-    private static Map<String, Double> shares(OperatorFields root) throws Settings.Invalid {
+    private static Map<String, Double> teamWeights(SettingsSection root) throws Settings.InvalidSettingException {
         Object section = root.value("shares");
         if (section != null && !(section instanceof Map)) {
-            throw new Settings.Invalid("shares", "must be a map");
+            throw new Settings.InvalidSettingException("shares", "must be a map");
         }
         Map<String, Double> shares = new LinkedHashMap<>();
-        for (Map.Entry<String, Object> entry : Fields.map(section).entrySet()) {
+        for (Map.Entry<String, Object> entry : Fields.asMap(section).entrySet()) {
             if (!(entry.getValue() instanceof Number share)
                     || !(share.doubleValue() > 0)
                     || !Double.isFinite(share.doubleValue())) {
-                throw new Settings.Invalid("shares." + entry.getKey(), "must be a number above 0");
+                throw new Settings.InvalidSettingException("shares." + entry.getKey(), "must be a number above 0");
             }
             shares.put(entry.getKey(), share.doubleValue());
         }
@@ -114,23 +115,25 @@
     }
 
     /** Checks what these settings name against the platform's. */
-    void check(List<Settings.Objective> objectives) throws Settings.Invalid {
-        for (String name : zones.displacement()) {
-            if (objectives.stream().noneMatch(objective -> objective.lane().equals(name))) {
-                throw new Settings.Invalid("zones.displacement", name + " is no class of the platform's settings");
+    void checkAgainst(List<Settings.Objective> objectives) throws Settings.InvalidSettingException {
+        for (String name : zones.displacementClasses()) {
+            if (objectives.stream().noneMatch(objective -> objective.jobClass().equals(name))) {
+                throw new Settings.InvalidSettingException(
+                        "zones.displacement", name + " is no class of the platform's settings");
             }
         }
     }
 
     /** The values in force, a line each. */
-    public List<String> inForce() {
+    public List<String> effectiveValues() {
         List<String> lines = new ArrayList<>();
-        shares.forEach((team, share) -> lines.add("shares." + team + " = " + share));
-        lines.add("log.format = " + (logTimes ? "timed" : "plain"));
+        teamWeights.forEach((team, share) -> lines.add("shares." + team + " = " + share));
+        lines.add("log.format = " + (logTimestamps ? "timed" : "plain"));
         lines.add("machines.idle_keep_s = " + idleKeepS);
         lines.add("machines.spot_risk = " + spotRisk);
-        ZoneSettingsReader.inForce(zones).forEach((field, value) -> lines.add("zones." + field + " = " + value));
-        AdmissionSettingsReader.inForce(admission)
+        ZoneSettingsReader.effectiveValues(zones)
+                .forEach((field, value) -> lines.add("zones." + field + " = " + value));
+        AdmissionSettingsReader.effectiveValues(admission)
                 .forEach((field, value) -> lines.add("admission." + field + " = " + value));
         return lines;
     }
--- a/src/main/java/org/mountlug/settings/Settings.java
+++ b/src/main/java/org/mountlug/settings/Settings.java
@@ -20,64 +20,64 @@
 public record Settings(
         String label,
         String zone,
-        String listen,
-        String clusterListen,
-        List<Peer> others,
-        String cloud,
-        String state,
-        double skewMs,
+        String listenAddress,
+        String clusterListenAddress,
+        List<Peer> peers,
+        String cloudAddress,
+        String stateAddress,
+        double maxClockSkewMs,
         List<Team> teams,
         List<Objective> objectives,
-        double reportS,
-        double leaseS,
+        double reportIntervalS,
+        double workerLeaseS,
         double gangWaitS,
         double gangPeerS,
-        double cancelS,
+        double cancelWithinS,
         double stateRps,
         double stateWriteRps,
-        double valueKb,
-        double leastValueKb,
+        double currentValueLimitKb,
+        double strictestValueLimitKb,
         int txnOps,
         double cloudRps,
-        double listLagS,
+        double cloudListLagS,
         int fdLimit,
-        double memMb) {
+        double memoryLimitMb) {
 
     /** Another controller and the address at which it answers its peers. */
     public record Peer(String label, String endpoint) {}
 
     /** An aim as the platform restates it: {@code kind} wait, finished or deadline. */
-    public record Objective(String kind, String lane, double withinS, double share) {}
+    public record Objective(String kind, String jobClass, double withinS, double share) {}
 
     /** A setting that is missing or wrong, named by its path. */
-    public static final class Invalid extends Exception {
+    public static final class InvalidSettingException extends Exception {
         private static final long serialVersionUID = 1;
 
         /** Names the field and what is wrong with it. */
-        public Invalid(String field, String problem) {
+        public InvalidSettingException(String field, String problem) {
             super(field + ": " + problem);
         }
     }
 
     /** Reads and checks the platform's file. */
-    public static Settings load(Path file, Operators operators) throws Invalid {
+    public static Settings load(Path file, OperatorSettings operators) throws InvalidSettingException {
         Map<String, Object> m;
         try (JsonParser p = new TomlFactory().createParser(Files.readString(file))) {
             p.nextToken();
-            m = Fields.map(Cbor.value(p, 0));
+            m = Fields.asMap(Cbor.readValue(p, 0));
         } catch (IOException e) {
-            throw new Invalid(file.toString(), "cannot be read as TOML (" + firstLine(e) + ")");
+            throw new InvalidSettingException(file.toString(), "cannot be read as TOML (" + firstLine(e) + ")");
         }
         return of(m, operators);
     }
 
     /** Checks settings that were read already. */
-    public static Settings of(Map<String, Object> m, Operators operators) throws Invalid {
+    public static Settings of(Map<String, Object> m, OperatorSettings operators) throws InvalidSettingException {
         Reader root = new Reader("", m);
         List<Peer> others = new ArrayList<>();
         int i = 0;
         for (Object o : root.list("others", false)) {
-            Reader r = new Reader("others[" + i++ + "].", Fields.map(o));
+            Reader r = new Reader("others[" + i++ + "].", Fields.asMap(o));
             others.add(new Peer(r.text("label"), r.address("endpoint")));
         }
         Reader ends = root.table("endpoints");
@@ -85,7 +85,7 @@
         List<Team> teams = new ArrayList<>();
         i = 0;
         for (Object o : cluster.list("teams", true)) {
-            Reader r = new Reader("cluster.teams[" + i++ + "].", Fields.map(o));
+            Reader r = new Reader("cluster.teams[" + i++ + "].", Fields.asMap(o));
             String name = r.text("name");
             teams.add(new Team(
                     name,
@@ -93,29 +93,29 @@
                     r.number("cpus_max", 0, 0),
                     r.number("gpus", 0, 0),
                     r.number("gpus_max", 0, 0),
-                    operators.share(name)));
+                    operators.teamWeight(name)));
         }
-        for (String name : operators.shares().keySet()) {
+        for (String name : operators.teamWeights().keySet()) {
             if (teams.stream().noneMatch(t -> t.name().equals(name))) {
-                throw new Invalid("shares." + name, "no such team in the platform's settings");
+                throw new InvalidSettingException("shares." + name, "no such team in the platform's settings");
             }
         }
         List<Objective> objectives = new ArrayList<>();
         for (Object o : cluster.list("objectives", false)) {
-            Map<String, Object> x = Fields.map(o);
+            Map<String, Object> x = Fields.asMap(o);
             objectives.add(new Objective(
-                    Fields.str(x, "kind", ""),
-                    Fields.str(x, "class", ""),
-                    Fields.dec(x, "within_s", Double.NaN),
-                    Fields.dec(x, "share", Double.NaN)));
+                    Fields.getString(x, "kind", ""),
+                    Fields.getString(x, "class", ""),
+                    Fields.getDouble(x, "within_s", Double.NaN),
+                    Fields.getDouble(x, "share", Double.NaN)));
         }
-        operators.check(objectives);
+        operators.checkAgainst(objectives);
         Reader w = cluster.table("workers");
         Reader s = cluster.table("state");
         Reader next = s.m.get("next") == null ? new Reader("", Map.of()) : s.table("next");
         double valueKb = s.positive("value_kb");
         Reader c = cluster.table("cloud");
-        Reader limits = new Reader("cluster.machine_limits.", Fields.map(cluster.m.get("machine_limits")));
+        Reader limits = new Reader("cluster.machine_limits.", Fields.asMap(cluster.m.get("machine_limits")));
         return new Settings(
                 root.text("label"),
                 root.text("zone"),
@@ -150,32 +150,32 @@
     }
 
     private record Reader(String path, Map<String, Object> m) {
-        Reader table(String k) throws Invalid {
+        Reader table(String k) throws InvalidSettingException {
             if (!(m.get(k) instanceof Map)) {
-                throw new Invalid(path + k, "missing table");
+                throw new InvalidSettingException(path + k, "missing table");
             }
-            return new Reader(path + k + ".", Fields.map(m.get(k)));
+            return new Reader(path + k + ".", Fields.asMap(m.get(k)));
         }
 
-        List<Object> list(String k, boolean required) throws Invalid {
+        List<Object> list(String k, boolean required) throws InvalidSettingException {
             Object o = m.get(k);
             if (o == null && !required) {
                 return List.of();
             }
             if (!(o instanceof List)) {
-                throw new Invalid(path + k, o == null ? "missing" : "not a list");
+                throw new InvalidSettingException(path + k, o == null ? "missing" : "not a list");
             }
-            return Fields.list(m, k);
+            return Fields.getList(m, k);
         }
 
-        String text(String k) throws Invalid {
+        String text(String k) throws InvalidSettingException {
             if (!(m.get(k) instanceof String s) || s.isBlank()) {
-                throw new Invalid(path + k, "missing or not a text");
+                throw new InvalidSettingException(path + k, "missing or not a text");
             }
             return s;
         }
 
-        String address(String k) throws Invalid {
+        String address(String k) throws InvalidSettingException {
             String s = text(k);
             int colon = s.lastIndexOf(':');
             try {
@@ -186,34 +186,34 @@
             } catch (NumberFormatException e) {
                 // reported below
             }
-            throw new Invalid(path + k, "not an address of the form 10.0.0.1:8080");
+            throw new InvalidSettingException(path + k, "not an address of the form 10.0.0.1:8080");
         }
 
-        double positive(String k) throws Invalid {
+        double positive(String k) throws InvalidSettingException {
             double d = number(k, 0, Double.NaN);
             if (d <= 0) {
-                throw new Invalid(path + k, "must be above 0");
+                throw new InvalidSettingException(path + k, "must be above 0");
             }
             return d;
         }
 
         /** The smaller of this number, if it is there, and {@code now}. */
-        double least(String k, double now) throws Invalid {
+        double least(String k, double now) throws InvalidSettingException {
             return m.get(k) == null ? now : Math.min(now, positive(k));
         }
 
         /** A number of at least {@code least}; {@code def} NaN makes it required. */
-        double number(String k, double least, double def) throws Invalid {
+        double number(String k, double least, double def) throws InvalidSettingException {
             Object o = m.get(k);
             if (o == null && !Double.isNaN(def)) {
                 return def;
             }
             if (!(o instanceof Number n)) {
-                throw new Invalid(path + k, o == null ? "missing" : "not a number");
+                throw new InvalidSettingException(path + k, o == null ? "missing" : "not a number");
             }
             double d = n.doubleValue();
             if (!Double.isFinite(d) || d < least) {
-                throw new Invalid(path + k, "must be at least " + least);
+                throw new InvalidSettingException(path + k, "must be at least " + least);
             }
             return d;
         }
--- a/src/main/java/org/mountlug/settings/OperatorFields.java
+++ b/src/main/java/org/mountlug/settings/SettingsSection.java
@@ -5,13 +5,13 @@
 import org.mountlug.wire.Fields;
 
 /** One section of the operators' file: each field is looked up by name, checked, and named in full if it is wrong. */
-record OperatorFields(String path, Map<String, Object> values) {
+record SettingsSection(String path, Map<String, Object> values) {
     /** A section in which no other fields than these may stand. */
-    static OperatorFields of(String path, Object section, Set<String> known) throws Settings.Invalid {
+    static SettingsSection of(String path, Object section, Set<String> known) throws Settings.InvalidSettingException {
         if (!(section instanceof Map)) {
-            throw new Settings.Invalid(path, "must be a map");
+            throw new Settings.InvalidSettingException(path, "must be a map");
         }
-        OperatorFields fields = new OperatorFields(path, Fields.map(section));
+        SettingsSection fields = new SettingsSection(path, Fields.asMap(section));
         for (Object name : fields.values.keySet()) {
             if (!known.contains(name)) {
                 throw fields.invalid(String.valueOf(name), "unknown field");
@@ -20,8 +20,8 @@
         return fields;
     }
 
-    Settings.Invalid invalid(String field, String problem) {
-        return new Settings.Invalid(path.isEmpty() ? field : path + "." + field, problem);
+    Settings.InvalidSettingException invalid(String field, String problem) {
+        return new Settings.InvalidSettingException(path.isEmpty() ? field : path + "." + field, problem);
     }
 
     /** The field as it was read, or null. */
@@ -30,7 +30,7 @@
     }
 
     /** A number within these bounds, or the default if the field is missing. */
-    double number(String field, double least, double most, double def) throws Settings.Invalid {
+    double number(String field, double least, double most, double def) throws Settings.InvalidSettingException {
         Object value = values.get(field);
         if (value == null) {
             return def;
@@ -42,7 +42,7 @@
     }
 
     /** A whole number within these bounds, or the default if the field is missing. */
-    int whole(String field, int least, int most, int def) throws Settings.Invalid {
+    int integer(String field, int least, int most, int def) throws Settings.InvalidSettingException {
         double number = number(field, least, most, def);
         if (number != Math.rint(number)) {
             throw invalid(field, "must be a whole number");
@@ -51,7 +51,7 @@
     }
 
     /** True or false, or the default if the field is missing. */
-    boolean yesOrNo(String field, boolean def) throws Settings.Invalid {
+    boolean bool(String field, boolean def) throws Settings.InvalidSettingException {
         Object value = values.get(field);
         if (value == null) {
             return def;
@@ -63,7 +63,7 @@
     }
 
     /** One of these words, or the first if the field is missing. */
-    String word(String field, String... words) throws Settings.Invalid {
+    String choice(String field, String... words) throws Settings.InvalidSettingException {
         Object value = values.get(field);
         if (value == null) {
             return words[0];
--- a/src/main/java/org/mountlug/store/AdmissionCodec.java
+++ b/src/main/java/org/mountlug/store/AdmissionCodec.java
@@ -59,7 +59,7 @@
     }
 
     private static Map<String, Object> record(AdmissionTable table, List<Object> queues) {
-        return Fields.ordered(ISSUED_MS, table.issuedMs(), CAPACITY, table.capacityPerS(), QUEUES, queues);
+        return Fields.orderedMap(ISSUED_MS, table.issuedMs(), CAPACITY, table.capacityPerS(), QUEUES, queues);
     }
 
     /** Positions are written as the first one and then as differences, which are shorter. */
@@ -82,26 +82,26 @@
     /** The table that is told by the latest of these records; queues that nobody can read are left out. */
     public static AdmissionTable read(Collection<Map<String, Object>> records) {
         long issuedMs = records.stream()
-                .mapToLong(record -> Fields.num(record, ISSUED_MS, 0))
+                .mapToLong(record -> Fields.getLong(record, ISSUED_MS, 0))
                 .max()
                 .orElse(0);
         double capacityPerS = 0;
         Map<QueueId, CursorSchedule> schedules = new HashMap<>();
         for (Map<String, Object> record : records) {
-            if (Fields.num(record, ISSUED_MS, 0) == issuedMs) {
-                capacityPerS = Fields.dec(record, CAPACITY, 0);
-                Fields.list(record, QUEUES).forEach(element -> readQueue(Fields.map(element), schedules));
+            if (Fields.getLong(record, ISSUED_MS, 0) == issuedMs) {
+                capacityPerS = Fields.getDouble(record, CAPACITY, 0);
+                Fields.getList(record, QUEUES).forEach(element -> readQueue(Fields.asMap(element), schedules));
             }
         }
         return new AdmissionTable(issuedMs, capacityPerS, schedules);
     }
 
     private static void readQueue(Map<String, Object> entry, Map<QueueId, CursorSchedule> schedules) {
-        String team = Fields.str(entry, TEAM);
-        String jobClass = Fields.str(entry, JOB_CLASS);
+        String team = Fields.getString(entry, TEAM);
+        String jobClass = Fields.getString(entry, JOB_CLASS);
         List<Long> positions = new ArrayList<>();
         long position = 0;
-        for (Object difference : Fields.list(entry, POSITIONS)) {
+        for (Object difference : Fields.getList(entry, POSITIONS)) {
             if (!(difference instanceof Number number) || number.longValue() < 0) {
                 return;
             }
@@ -109,8 +109,8 @@
             positions.add(position);
         }
         if (team != null && jobClass != null && positions.size() >= 2) {
-            long startedMs = Fields.num(entry, STARTED_MS, 0);
-            long firstStep = Fields.num(entry, FIRST_STEP, 0);
+            long startedMs = Fields.getLong(entry, STARTED_MS, 0);
+            long firstStep = Fields.getLong(entry, FIRST_STEP, 0);
             schedules.put(new QueueId(team, jobClass), CursorSchedule.of(startedMs, firstStep, positions));
         }
     }
--- a/src/main/java/org/mountlug/store/ImageCodec.java
+++ b/src/main/java/org/mountlug/store/ImageIndexCodec.java
@@ -8,21 +8,21 @@
 import org.mountlug.core.cluster.Machine;
 
 /** Notes of which machine has which image, by machine, each within the value limit. */
-public final class ImageCodec {
+public final class ImageIndexCodec {
     /** Images told of one machine, the latest. */
     private static final int MOST_A_MACHINE = 8;
 
-    private ImageCodec() {}
+    private ImageIndexCodec() {}
 
     /**
      * Which machines should have which images, a help for placing: in as many notes as the fleet needs, each machine always
      * in the same one, so that a change is one write.
      */
-    public static List<Map<String, Object>> notes(Collection<Machine> machines, int mostChars) {
+    public static List<Map<String, Object>> write(Collection<Machine> machines, int mostChars) {
         Map<Machine, List<String>> images = new LinkedHashMap<>();
         long chars = 0;
         for (Machine machine : machines) {
-            if (!machine.images.isEmpty()) {
+            if (!machine.cachedImages.isEmpty()) {
                 List<String> latest = latestImages(machine);
                 images.put(machine, latest);
                 chars += imageChars(machine, latest);
@@ -49,7 +49,7 @@
     }
 
     private static List<String> latestImages(Machine machine) {
-        List<String> images = new ArrayList<>(machine.images);
+        List<String> images = new ArrayList<>(machine.cachedImages);
         return images.subList(Math.max(0, images.size() - MOST_A_MACHINE), images.size());
     }
 
--- a/src/main/java/org/mountlug/store/RecordCodec.java
+++ b/src/main/java/org/mountlug/store/JobRecordCodec.java
@@ -9,24 +9,24 @@
 import java.util.Map;
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.JobSpec;
+import org.mountlug.core.model.JobType;
 import org.mountlug.core.model.Placement;
+import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.model.Shape;
-import org.mountlug.core.model.Urgency;
 import org.mountlug.wire.Fields;
 import org.mountlug.wire.Json;
 
 /**
  * Records in the state service. A job's progress is written as runs of finished tasks, or a bit for each, and as runs of
  * placed ones by machine. A job whose tasks might not fit into one record keeps the first in its own and the others in
- * parts of a fixed number of tasks each ({@link #layout}), so that every task has one place and no record can pass the
+ * parts of a fixed number of tasks each ({@link #layoutFor}), so that every task has one place and no record can pass the
  * value limit. The job's own record stays the point of serialisation: each write of a part writes it too, and so fails
  * with it.
  *
  * <p>Versions before parts know only the own record, so parts are written once no controller runs one of them; what
  * they do not know of a record they lose when they write it back. {@code docs/design.md} lists what is compatible.
  */
-public final class RecordCodec {
+public final class JobRecordCodec {
     /** Field of a live record: its user has cancelled the job. */
     private static final String CANCELLED = "x";
 
@@ -43,23 +43,23 @@
     /** What a version before parts keeps of a service: no run time is below nothing, and it writes it back as it is. */
     private static final double SERVICE_EXPECTED = -1;
 
-    private RecordCodec() {}
+    private JobRecordCodec() {}
 
     // ---- specification ----------------------------------------------------------------------------------------
 
     /** The specification as it stands in a record. */
     public static Map<String, Object> spec(JobSpec s) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("l", s.lane());
+        m.put("l", s.jobClass());
         m.put("t", s.team());
-        m.put("g", s.gang());
-        m.put("u", s.urgency().ordinal());
+        m.put("g", s.isGang());
+        m.put("u", s.priority().ordinal());
         m.put("n", s.tasks());
-        m.put("c", s.need().cpus());
-        m.put("q", s.need().gpus());
-        m.put("r", s.need().ramGb());
-        if (s.types() != null) {
-            m.put("b", s.types());
+        m.put("c", s.request().cpus());
+        m.put("q", s.request().gpus());
+        m.put("r", s.request().ramGb());
+        if (s.machineTypes() != null) {
+            m.put("b", s.machineTypes());
         }
         if (s.zone() != null) {
             m.put("z", s.zone());
@@ -67,17 +67,17 @@
         if (s.oneZone()) {
             m.put("o", true);
         }
-        if (s.apart()) {
+        if (s.spreadAcrossZones()) {
             m.put("a", true);
         }
-        if (s.spot()) {
+        if (s.spotAllowed()) {
             m.put("p", true);
         }
         m.put("i", s.image());
         m.put("ig", s.imageGb());
-        m.put("e", s.service() ? SERVICE_EXPECTED : s.expectedS());
-        m.put("k", s.checkpointS());
-        m.put("s", s.saveS());
+        m.put("e", s.isService() ? SERVICE_EXPECTED : s.expectedRunS());
+        m.put("k", s.checkpointIntervalS());
+        m.put("s", s.checkpointSaveS());
         if (!Double.isNaN(s.deadlineS())) {
             m.put("d", s.deadlineS());
         }
@@ -86,28 +86,28 @@
     }
 
     private static JobSpec spec(String id, Map<String, Object> m) {
-        double expected = Fields.dec(m, "e", 1);
-        Shape shape = Fields.bool(m, "g") ? Shape.GANG : expected < 0 ? Shape.SERVICE : Shape.ARRAY;
+        double expected = Fields.getDouble(m, "e", 1);
+        JobType shape = Fields.getBoolean(m, "g") ? JobType.GANG : expected < 0 ? JobType.SERVICE : JobType.ARRAY;
         return new JobSpec(
                 id,
-                Fields.str(m, "l", ""),
-                Fields.str(m, "t", ""),
+                Fields.getString(m, "l", ""),
+                Fields.getString(m, "t", ""),
                 shape,
-                Urgency.values()[(int) Fields.num(m, "u", 1)],
-                (int) Fields.num(m, "n", 1),
-                new Resources(Fields.dec(m, "c", 0), Fields.dec(m, "q", 0), Fields.dec(m, "r", 0)),
-                Fields.strings(m, "b"),
-                Fields.str(m, "z"),
-                Fields.bool(m, "o"),
-                Fields.bool(m, "a"),
-                Fields.bool(m, "p"),
-                Fields.str(m, "i", ""),
-                Fields.dec(m, "ig", 0),
+                Priority.values()[(int) Fields.getLong(m, "u", 1)],
+                (int) Fields.getLong(m, "n", 1),
+                new Resources(Fields.getDouble(m, "c", 0), Fields.getDouble(m, "q", 0), Fields.getDouble(m, "r", 0)),
+                Fields.getStrings(m, "b"),
+                Fields.getString(m, "z"),
+                Fields.getBoolean(m, "o"),
+                Fields.getBoolean(m, "a"),
+                Fields.getBoolean(m, "p"),
+                Fields.getString(m, "i", ""),
+                Fields.getDouble(m, "ig", 0),
                 Math.max(0, expected),
-                Fields.dec(m, "k", 0),
-                Fields.dec(m, "s", 0),
-                Fields.dec(m, "d", Double.NaN),
-                Fields.num(m, "at", 0));
+                Fields.getDouble(m, "k", 0),
+                Fields.getDouble(m, "s", 0),
+                Fields.getDouble(m, "d", Double.NaN),
+                Fields.getLong(m, "at", 0));
     }
 
     // ---- job --------------------------------------------------------------------------------------------------
@@ -118,7 +118,7 @@
     }
 
     /** A record just submitted. */
-    public static Map<String, Object> fresh(JobSpec s) {
+    public static Map<String, Object> newRecord(JobSpec s) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("s", spec(s));
         m.put("w", "");
@@ -126,8 +126,8 @@
     }
 
     /** Whether a user has cancelled the job of this live record. */
-    public static boolean cancelled(Map<String, Object> record) {
-        return Fields.bool(record, CANCELLED);
+    public static boolean isCancelled(Map<String, Object> record) {
+        return Fields.getBoolean(record, CANCELLED);
     }
 
     /** The same record, cancelled. */
@@ -138,48 +138,48 @@
     }
 
     /** How many tasks a job's own record holds, and how many each part. */
-    public record Layout(int own, int per) {}
+    public record PartLayout(int ownTasks, int tasksPerPart) {}
 
     /**
      * How to store a job so that no record passes {@code chars}, wherever its tasks are and however they end: every
      * task on a machine of its own and every second one done.
      */
-    public static Layout layout(JobSpec s, int chars, int machineName) {
-        double each = Integer.toString(s.tasks()).length() + machineName + TASK_CHARS + 1 / 6.0;
+    public static PartLayout layoutFor(JobSpec s, int chars, int machineNameChars) {
+        double each = Integer.toString(s.tasks()).length() + machineNameChars + TASK_CHARS + 1 / 6.0;
         int own = (int) Math.floor((chars - FIXED_CHARS - Json.length(spec(s))) / each);
         int per = (int) Math.floor((chars - PART_FIXED_CHARS) / each);
-        return new Layout(Math.max(0, own), Math.max(1, per));
+        return new PartLayout(Math.max(0, own), Math.max(1, per));
     }
 
     /** A job's own record. */
-    public static Map<String, Object> job(Job j, String writeId) {
+    public static Map<String, Object> write(Job j, String writeId) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("s", spec(j.written));
+        m.put("s", spec(j.storedSpec));
         m.put("w", writeId);
         if (j.cancelled) {
             m.put(CANCELLED, true);
         }
-        m.put("a", j.attempts);
-        if (j.split()) {
-            m.put("K", List.of((long) j.ownTasks(), (long) j.partTasks()));
-            m.put("cd", (long) j.done.cardinality());
+        m.put("a", j.lastAttempt);
+        if (j.isSplit()) {
+            m.put("K", List.of((long) j.mainRecordTasks(), (long) j.tasksPerPart()));
+            m.put("cd", (long) j.doneTasks.cardinality());
         }
-        if (j.split() || j.spec.service()) {
+        if (j.isSplit() || j.spec.isService()) {
             m.put("cr", (long) running(j));
         }
-        progress(j, 0, j.ownTasks(), j.split() ? FAILURES_PART_CHARS : FAILURES_CHARS, m);
+        progress(j, 0, j.mainRecordTasks(), j.isSplit() ? FAILURES_PART_CHARS : FAILURES_CHARS, m);
         return m;
     }
 
     /** The tasks that are told as running: of a service only those that run, as its user waits for each of them. */
     private static int running(Job j) {
-        if (!j.spec.service()) {
-            return j.placed.size();
+        if (!j.spec.isService()) {
+            return j.placements.size();
         }
         int n = 0;
         // What an earlier leader placed ran, most likely, and will soon be seen to.
-        for (Placement p : j.placed.values()) {
-            if (!Double.isNaN(p.runningS) || p.version == 0 && !p.seen) {
+        for (Placement p : j.placements.values()) {
+            if (!Double.isNaN(p.runningSinceS) || p.version == 0 && !p.reported) {
                 n++;
             }
         }
@@ -187,19 +187,19 @@
     }
 
     /** A part, which holds whatever a job's own record leaves to it. */
-    public static Map<String, Object> part(Job j, int part) {
+    public static Map<String, Object> writePart(Job j, int writePart) {
         Map<String, Object> m = new LinkedHashMap<>();
-        progress(j, j.from(part), j.from(part + 1), FAILURES_PART_CHARS, m);
+        progress(j, j.firstTaskOf(writePart), j.firstTaskOf(writePart + 1), FAILURES_PART_CHARS, m);
         return m;
     }
 
     /** The key of a further part of a job. */
     public static String partKey(String job, int part) {
-        return StateKeys.PARTS + job + "/" + part;
+        return StateKeys.RECORD_PARTS + job + "/" + part;
     }
 
     private static void progress(Job j, int from, int to, int failuresChars, Map<String, Object> m) {
-        BitSet done = j.done.get(from, to);
+        BitSet done = j.doneTasks.get(from, to);
         if (!done.isEmpty()) {
             String ranges = ranges(done, from);
             // Ranges are short while tasks end in order; where they do not, a bit a task is shorter.
@@ -209,12 +209,12 @@
                 m.put("D", Base64.getEncoder().withoutPadding().encodeToString(done.toByteArray()));
             }
         }
-        List<Placement> placed = new ArrayList<>(j.placed.subMap(from, to).values());
+        List<Placement> placed = new ArrayList<>(j.placements.subMap(from, to).values());
         if (!placed.isEmpty()) {
             placed(placed, m);
         }
         StringBuilder e = new StringBuilder();
-        for (var f : j.failures.int2IntEntrySet()) {
+        for (var f : j.failuresByTask.int2IntEntrySet()) {
             if (f.getIntKey() < from || f.getIntKey() >= to) {
                 continue;
             }
@@ -289,12 +289,12 @@
     }
 
     private static void runs(Map<String, Object> m, Run each) {
-        String p = Fields.str(m, "p", "");
+        String p = Fields.getString(m, "p", "");
         if (p.isEmpty()) {
             return;
         }
-        String prefix = Fields.str(m, "mp", "");
-        List<Object> zones = Fields.list(m, "z");
+        String prefix = Fields.getString(m, "mp", "");
+        List<Object> zones = Fields.getList(m, "z");
         for (String entry : p.split(" ")) {
             int eq = entry.indexOf('=');
             String[] head = entry.substring(0, eq).split("!");
@@ -311,7 +311,7 @@
     }
 
     private static BitSet done(Map<String, Object> m, int first) {
-        String bits = Fields.str(m, "D");
+        String bits = Fields.getString(m, "D");
         BitSet done = new BitSet();
         if (bits != null) {
             BitSet b = BitSet.valueOf(Base64.getDecoder().decode(bits));
@@ -320,7 +320,7 @@
             }
             return done;
         }
-        String d = Fields.str(m, "d", "");
+        String d = Fields.getString(m, "d", "");
         if (!d.isEmpty()) {
             for (String r : d.split(",")) {
                 int dash = r.indexOf('-');
@@ -338,11 +338,11 @@
     public record TaskCounts(int done, int placed) {}
 
     /** How many tasks of a live record are done and how many are placed. */
-    public static TaskCounts counts(Map<String, Object> record) {
+    public static TaskCounts taskCounts(Map<String, Object> record) {
         boolean parts = record.containsKey("K");
         if (parts || record.containsKey("cr")) {
-            int done = parts ? (int) Fields.num(record, "cd", 0) : 0;
-            return new TaskCounts(done, (int) Fields.num(record, "cr", 0));
+            int done = parts ? (int) Fields.getLong(record, "cd", 0) : 0;
+            return new TaskCounts(done, (int) Fields.getLong(record, "cr", 0));
         }
         int[] placed = new int[1];
         runs(record, (machine, zone, session, from, to, attempt) -> placed[0] += to - from + 1);
@@ -366,19 +366,19 @@
     }
 
     /** Reads a live job from its record. */
-    public static Job job(String id, Map<String, Object> m, long stamp, double nowS) {
-        Job j = new Job(spec(id, Fields.map(m.get("s"))));
-        j.stamp = stamp;
-        j.writeId = Fields.str(m, "w", "");
-        j.cancelled = cancelled(m);
-        j.attempts = Fields.num(m, "a", 0);
-        j.seenS = nowS;
-        List<Object> k = Fields.list(m, "K");
+    public static Job read(String id, Map<String, Object> m, long revision, double nowS) {
+        Job j = new Job(spec(id, Fields.asMap(m.get("s"))));
+        j.revision = revision;
+        j.writeId = Fields.getString(m, "w", "");
+        j.cancelled = isCancelled(m);
+        j.lastAttempt = Fields.getLong(m, "a", 0);
+        j.waitingSinceS = nowS;
+        List<Object> k = Fields.getList(m, "K");
         if (k.size() == 2) {
-            j.layout(((Number) k.get(0)).intValue(), ((Number) k.get(1)).intValue());
+            j.setLayout(((Number) k.get(0)).intValue(), ((Number) k.get(1)).intValue());
         }
         progress(j, m, 0, nowS);
-        j.begun = j.attempts > 0;
+        j.everPlaced = j.lastAttempt > 0;
         return j;
     }
 
@@ -388,25 +388,25 @@
     }
 
     /** Takes in a part of a job that has such. */
-    public static void part(Job j, int part, Map<String, Object> m, double nowS) {
-        progress(j, m, j.from(part), nowS);
+    public static void readPart(Job j, int readPart, Map<String, Object> m, double nowS) {
+        progress(j, m, j.firstTaskOf(readPart), nowS);
     }
 
     private static void progress(Job j, Map<String, Object> m, int first, double nowS) {
         // A version before services noted replicas that ended as done; for us they never are.
-        if (!j.spec.service()) {
-            j.done.or(done(m, first));
+        if (!j.spec.isService()) {
+            j.doneTasks.or(done(m, first));
         }
         runs(m, (machine, zone, session, from, to, attempt) -> {
             for (int t = from; t <= to; t++) {
-                j.placed.put(t, new Placement(j, t, attempt, machine, zone, session, 0, nowS));
+                j.placements.put(t, new Placement(j, t, attempt, machine, zone, session, 0, nowS));
             }
         });
-        String e = Fields.str(m, "e", "");
+        String e = Fields.getString(m, "e", "");
         if (!e.isEmpty()) {
             for (String r : e.split(",")) {
                 int dot = r.indexOf('.');
-                j.failures.put(Integer.parseInt(r.substring(0, dot)), Integer.parseInt(r.substring(dot + 1)));
+                j.failuresByTask.put(Integer.parseInt(r.substring(0, dot)), Integer.parseInt(r.substring(dot + 1)));
             }
         }
     }
@@ -414,7 +414,7 @@
     // ---- final ------------------------------------------------------------------------------------------------
 
     /** The record of a job that is over. */
-    public static Map<String, Object> over(boolean done, int tasks) {
+    public static Map<String, Object> finalRecord(boolean done, int tasks) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("done", done);
         m.put("n", tasks);
--- a/src/main/java/org/mountlug/store/ReservationCodec.java
+++ b/src/main/java/org/mountlug/store/ReservationCodec.java
@@ -35,7 +35,7 @@
     /** Reads a gang's reservations. */
     public static List<Reservation> read(Map<String, Object> record) {
         List<Reservation> reservations = new ArrayList<>();
-        for (Object element : Fields.list(record, ENTRIES)) {
+        for (Object element : Fields.getList(record, ENTRIES)) {
             String entry = (String) element;
             int separator = entry.indexOf(SEPARATOR);
             int task = Integer.parseInt(entry.substring(0, separator));
--- a/src/main/java/org/mountlug/store/StateKeys.java
+++ b/src/main/java/org/mountlug/store/StateKeys.java
@@ -5,19 +5,19 @@
     /** The leader, on its lease. */
     public static final String LEADER = "leader";
     /** Live jobs, by job; each record is the job's point of serialisation. */
-    public static final String LIVE = "j/";
+    public static final String LIVE_JOBS = "j/";
     /** Parts of live jobs, by job and number. */
-    public static final String PARTS = "p/";
+    public static final String RECORD_PARTS = "p/";
     /** Jobs that are over, by job. */
-    public static final String FINAL = "f/";
+    public static final String FINAL_RECORDS = "f/";
     /** Reservations of gangs, by job. */
-    public static final String RESERVED = "r/";
+    public static final String RESERVATIONS = "r/";
     /** The machine types, for controllers that start while the cloud is down. */
     public static final String CATALOGUE = "catalogue";
     /** Which machine has which image: the first note, which is the only one that production knows. */
-    public static final String IMAGES = "images";
+    public static final String IMAGE_INDEX = "images";
     /** The further notes, by number. */
-    public static final String MORE_IMAGES = "i/";
+    public static final String IMAGE_INDEX_SHARDS = "i/";
     /** What each controller can read, by its label. */
     public static final String VERSIONS = "v/";
     /** How many workers' reports come to a follower that cannot tell the leader itself, by its label. */
@@ -31,7 +31,7 @@
     private StateKeys() {}
 
     /** The key of a note of images. */
-    public static String images(int note) {
-        return note == 0 ? IMAGES : MORE_IMAGES + note;
+    public static String imageIndexShard(int shard) {
+        return shard == 0 ? IMAGE_INDEX : IMAGE_INDEX_SHARDS + shard;
     }
 }
--- a/src/main/java/org/mountlug/store/Change.java
+++ b/src/main/java/org/mountlug/store/Transaction.java
@@ -8,25 +8,25 @@
 import java.util.Set;
 
 /** A transaction for the state service under construction. */
-public final class Change {
+public final class Transaction {
     private final List<Object> guards = new ArrayList<>();
     private final Set<String> guarded = new HashSet<>();
     private final List<Object> writes = new ArrayList<>();
 
     /** Makes the change depend on the revision of a key, 0 for one that does not exist. */
-    public Change guard(String key, long stamp) {
+    public Transaction requireRevision(String key, long revision) {
         if (!guarded.add(key)) {
             return this;
         }
         Map<String, Object> g = new LinkedHashMap<>();
         g.put("k", key);
-        g.put("stamp", stamp);
+        g.put("stamp", revision);
         guards.add(g);
         return this;
     }
 
     /** Writes a key without a lease. */
-    public Change put(String key, Map<String, Object> value) {
+    public Transaction put(String key, Map<String, Object> value) {
         Map<String, Object> w = new LinkedHashMap<>();
         w.put("put", key);
         w.put("v", value);
@@ -35,7 +35,7 @@
     }
 
     /** Writes a key that goes when the lease ends. */
-    public Change put(String key, Map<String, Object> value, long lease) {
+    public Transaction put(String key, Map<String, Object> value, long lease) {
         Map<String, Object> w = new LinkedHashMap<>();
         w.put("put", key);
         w.put("v", value);
@@ -45,13 +45,13 @@
     }
 
     /** Removes a key. */
-    public Change delete(String key) {
+    public Transaction delete(String key) {
         writes.add(Map.of("delete", key));
         return this;
     }
 
     /** The number of writes, as the budget counts them. */
-    public int size() {
+    public int writeCount() {
         return writes.size();
     }
 
--- a/src/main/java/org/mountlug/store/VersionCodec.java
+++ b/src/main/java/org/mountlug/store/VersionCodec.java
@@ -14,17 +14,17 @@
     private VersionCodec() {}
 
     /** What a controller of this version writes of itself. */
-    public static Map<String, Object> announce() {
-        return Fields.ordered(READS_LAYOUT, (long) LAYOUT, READS_ZONES, true);
+    public static Map<String, Object> announcement() {
+        return Fields.orderedMap(READS_LAYOUT, (long) LAYOUT, READS_ZONES, true);
     }
 
     /** Whether a controller that announced this reads records in parts. */
     public static boolean readsParts(Map<String, Object> announcement) {
-        return Fields.num(announcement, READS_LAYOUT, 1) >= LAYOUT;
+        return Fields.getLong(announcement, READS_LAYOUT, 1) >= LAYOUT;
     }
 
     /** Whether a controller that announced this reads the record of the zones' state. */
     public static boolean readsZones(Map<String, Object> announcement) {
-        return Fields.bool(announcement, READS_ZONES);
+        return Fields.getBoolean(announcement, READS_ZONES);
     }
 }
--- a/src/main/java/org/mountlug/store/ZoneCodec.java
+++ b/src/main/java/org/mountlug/store/ZoneCodec.java
@@ -49,11 +49,11 @@
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put(NAME, zone.zone());
         entry.put(STATE, (long) zone.state().ordinal());
-        entry.put(LOSSES, (long) zone.losses());
+        entry.put(LOSSES, (long) zone.recentLosses());
         entry.put(STATE_SINCE, since(zone.stateAgeS(), nowMs));
-        entry.put(TROUBLE_SINCE, since(zone.troubleAgeS(), nowMs));
+        entry.put(TROUBLE_SINCE, since(zone.absentAgeS(), nowMs));
         entry.put(LOSS_AT, since(zone.lossAgeS(), nowMs));
-        entry.put(DISPLACED, (long) zone.displaced());
+        entry.put(DISPLACED, (long) zone.maxSilentMachines());
         entry.put(WINDOW, zone.window());
         return entry;
     }
@@ -65,27 +65,27 @@
     /** Reads the zones; an entry that nobody can read is left out. */
     public static List<ZoneSnapshot> read(Map<String, Object> record, long nowMs) {
         List<ZoneSnapshot> zones = new ArrayList<>();
-        for (Object element : Fields.list(record, LIST)) {
-            Map<String, Object> entry = Fields.map(element);
-            String name = Fields.str(entry, NAME);
-            long state = Fields.num(entry, STATE, -1);
+        for (Object element : Fields.getList(record, LIST)) {
+            Map<String, Object> entry = Fields.asMap(element);
+            String name = Fields.getString(entry, NAME);
+            long state = Fields.getLong(entry, STATE, -1);
             if (name == null || state < 0 || state >= ZoneState.values().length) {
                 continue;
             }
             zones.add(new ZoneSnapshot(
                     name,
                     ZoneState.values()[(int) state],
-                    (int) Fields.num(entry, LOSSES, 0),
+                    (int) Fields.getLong(entry, LOSSES, 0),
                     ageS(entry, STATE_SINCE, nowMs),
                     ageS(entry, TROUBLE_SINCE, nowMs),
                     ageS(entry, LOSS_AT, nowMs),
-                    (int) Fields.num(entry, DISPLACED, 0),
-                    Fields.dec(entry, WINDOW, 0)));
+                    (int) Fields.getLong(entry, DISPLACED, 0),
+                    Fields.getDouble(entry, WINDOW, 0)));
         }
         return zones;
     }
 
     private static double ageS(Map<String, Object> entry, String field, long nowMs) {
-        return Math.max(0, (nowMs - Fields.num(entry, field, nowMs)) / 1000.0);
+        return Math.max(0, (nowMs - Fields.getLong(entry, field, nowMs)) / 1000.0);
     }
 }
--- a/src/main/java/org/mountlug/wire/Cbor.java
+++ b/src/main/java/org/mountlug/wire/Cbor.java
@@ -28,7 +28,7 @@
             if (p.nextToken() == null) {
                 throw new IOException("empty body");
             }
-            Object v = value(p, 0);
+            Object v = readValue(p, 0);
             if (p.nextToken() != null) {
                 throw new IOException("more than one value");
             }
@@ -47,7 +47,7 @@
     }
 
     /** Reads the value at which a streaming parser stands; serves TOML as well. */
-    public static Object value(JsonParser p, int depth) throws IOException {
+    public static Object readValue(JsonParser p, int depth) throws IOException {
         if (depth > DEPTH_MAX) {
             throw new IOException("nested too deeply");
         }
@@ -68,7 +68,7 @@
                     }
                     String k = p.currentName();
                     p.nextToken();
-                    m.put(k, value(p, depth + 1));
+                    m.put(k, readValue(p, depth + 1));
                 }
             }
             case START_ARRAY -> {
@@ -81,7 +81,7 @@
                     if (n == null) {
                         throw new IOException("value cut short");
                     }
-                    l.add(value(p, depth + 1));
+                    l.add(readValue(p, depth + 1));
                 }
             }
             case VALUE_STRING -> {
--- a/src/main/java/org/mountlug/wire/Http.java
+++ b/src/main/java/org/mountlug/wire/PooledHttpClient.java
@@ -30,17 +30,17 @@
  * connection is closed, since a party behind a cut stays silent without an error; the number of connections and of
  * waiting calls is bounded.
  */
-public final class Http implements Calls {
+public final class PooledHttpClient implements HttpTransport {
     /** What came back; {@code status} 0 means no answer, so the request may have been carried out, now or later. */
-    public record Answer(int status, Map<String, Object> body, boolean sent) {
+    public record Response(int status, Map<String, Object> body, boolean requestSent) {
         /** Whether there was no answer at all. */
-        public boolean none() {
+        public boolean isMissing() {
             return status == 0;
         }
     }
 
-    private static final Answer NOTHING = new Answer(0, Map.of(), true);
-    private static final Answer UNSENT = new Answer(0, Map.of(), false);
+    private static final Response NOTHING = new Response(0, Map.of(), true);
+    private static final Response UNSENT = new Response(0, Map.of(), false);
 
     private final HttpClientProvider client = new HttpClientProvider();
     private final XnioIoThread thread;
@@ -54,12 +54,12 @@
     private int open;
 
     /** A client of one address with at most so many connections, which are kept open between calls. */
-    public Http(XnioIoThread thread, ByteBufferPool pool, String address, int most) {
+    public PooledHttpClient(XnioIoThread thread, ByteBufferPool pool, String address, int most) {
         this(thread, pool, address, most, true);
     }
 
     /** @param keep whether connections are kept for later calls; to hundreds of workers they would be too many */
-    public Http(XnioIoThread thread, ByteBufferPool pool, String address, int most, boolean keep) {
+    public PooledHttpClient(XnioIoThread thread, ByteBufferPool pool, String address, int most, boolean keep) {
         this.keep = keep;
         this.thread = thread;
         this.pool = pool;
@@ -70,7 +70,7 @@
 
     /** Must be called on the I/O thread, on which {@code then} runs as well. */
     @Override
-    public void call(HttpString method, String path, Map<String, Object> body, int timeoutMs, Consumer<Answer> then) {
+    public void call(HttpString method, String path, Map<String, Object> body, int timeoutMs, Consumer<Response> then) {
         Call c = new Call(method, path, body == null ? null : Cbor.write(body), timeoutMs, then);
         c.timer = thread.executeAfter(c::timeout, timeoutMs, TimeUnit.MILLISECONDS);
         start(c);
@@ -145,7 +145,7 @@
         final HttpString method;
         final String path;
         final byte[] body;
-        final Consumer<Answer> then;
+        final Consumer<Response> then;
         /** When it is given up; the timer may fire late. */
         final long dueNs;
 
@@ -155,7 +155,7 @@
         boolean over;
         ByteArrayOutputStream in;
 
-        Call(HttpString method, String path, byte[] body, int timeoutMs, Consumer<Answer> then) {
+        Call(HttpString method, String path, byte[] body, int timeoutMs, Consumer<Response> then) {
             this.dueNs = System.nanoTime() + timeoutMs * 1_000_000L;
             this.method = method;
             this.path = path;
@@ -176,7 +176,7 @@
             finish(sent ? NOTHING : UNSENT);
         }
 
-        void finish(Answer a) {
+        void finish(Response a) {
             if (over) {
                 return;
             }
@@ -297,7 +297,7 @@
             byte[] raw = in.toByteArray();
             if (raw.length > 0) {
                 try {
-                    m = Fields.map(Cbor.read(raw));
+                    m = Fields.asMap(Cbor.read(raw));
                 } catch (IOException e) {
                     if (status == 200) {
                         status = 0; // an answer that cannot be read says nothing of what was done
@@ -312,7 +312,7 @@
                                     x.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
             // The connection is free only after Undertow has finished the exchange, later in this turn of the thread.
             thread.execute(() -> release(k, keep));
-            finish(new Answer(status, m, true));
+            finish(new Response(status, m, true));
         }
     }
 }
--- a/src/test/java/org/mountlug/SpecBuilder.java
+++ b/src/test/java/org/mountlug/JobSpecBuilder.java
@@ -2,109 +2,109 @@
 
 import java.util.List;
 import org.mountlug.core.model.JobSpec;
+import org.mountlug.core.model.JobType;
+import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.model.Shape;
-import org.mountlug.core.model.Urgency;
 
 /** Describes a job field by field, from what the tests' jobs have in common. */
-public final class SpecBuilder {
+public final class JobSpecBuilder {
     private final String id;
-    private String lane = "lane";
+    private String jobClass = "lane";
     private String team = "t";
-    private Shape shape = Shape.ARRAY;
-    private Urgency urgency = Urgency.STANDARD;
+    private JobType jobType = JobType.ARRAY;
+    private Priority priority = Priority.STANDARD;
     private int tasks = 1;
-    private Resources need = new Resources(2, 0, 8);
+    private Resources request = new Resources(2, 0, 8);
     private List<String> types;
     private String zone;
     private boolean oneZone;
-    private boolean apart;
+    private boolean spreadAcrossZones;
     private double expectedS = 30;
     private double checkpointS = 15;
     private double deadlineS = Double.NaN;
     private long submittedMs;
 
     /** Begins with a job of one small task. */
-    public SpecBuilder(String id) {
+    public JobSpecBuilder(String id) {
         this.id = id;
     }
 
     /** Begins with what another job has, under the same id. */
-    public static SpecBuilder of(JobSpec spec) {
-        SpecBuilder builder = new SpecBuilder(spec.id())
-                .lane(spec.lane())
+    public static JobSpecBuilder of(JobSpec spec) {
+        JobSpecBuilder builder = new JobSpecBuilder(spec.id())
+                .jobClass(spec.jobClass())
                 .team(spec.team())
-                .shape(spec.shape())
-                .urgency(spec.urgency())
+                .jobType(spec.jobType())
+                .priority(spec.priority())
                 .tasks(spec.tasks())
-                .need(spec.need())
+                .request(spec.request())
                 .zone(spec.zone())
-                .rules(spec.oneZone(), spec.apart())
-                .times(spec.expectedS(), spec.checkpointS())
+                .zoneRules(spec.oneZone(), spec.spreadAcrossZones())
+                .runTimes(spec.expectedRunS(), spec.checkpointIntervalS())
                 .submittedMs(spec.submittedMs());
-        builder.types = spec.types();
+        builder.types = spec.machineTypes();
         builder.deadlineS = spec.deadlineS();
         return builder;
     }
 
     /** Its class. */
-    public SpecBuilder lane(String value) {
-        lane = value;
+    public JobSpecBuilder jobClass(String value) {
+        jobClass = value;
         return this;
     }
 
     /** Its team. */
-    public SpecBuilder team(String value) {
+    public JobSpecBuilder team(String value) {
         team = value;
         return this;
     }
 
     /** Its shape. */
-    public SpecBuilder shape(Shape value) {
-        shape = value;
+    public JobSpecBuilder jobType(JobType value) {
+        jobType = value;
         return this;
     }
 
     /** Its priority. */
-    public SpecBuilder urgency(Urgency value) {
-        urgency = value;
+    public JobSpecBuilder priority(Priority value) {
+        priority = value;
         return this;
     }
 
     /** How many tasks it has. */
-    public SpecBuilder tasks(int value) {
+    public JobSpecBuilder tasks(int value) {
         tasks = value;
         return this;
     }
 
     /** What each task takes. */
-    public SpecBuilder need(Resources value) {
-        need = value;
+    public JobSpecBuilder request(Resources value) {
+        request = value;
         return this;
     }
 
     /** The only zone that it may run in, null for any. */
-    public SpecBuilder zone(String value) {
+    public JobSpecBuilder zone(String value) {
         zone = value;
         return this;
     }
 
     /** Whether all its tasks must be in one zone, or at most half of them may be. */
-    public SpecBuilder rules(boolean inOneZone, boolean keptApart) {
+    public JobSpecBuilder zoneRules(boolean inOneZone, boolean keptApart) {
         oneZone = inOneZone;
-        apart = keptApart;
+        spreadAcrossZones = keptApart;
         return this;
     }
 
     /** The run time to expect, and after how many seconds it saves, 0 for never. */
-    public SpecBuilder times(double runS, double everyS) {
+    public JobSpecBuilder runTimes(double runS, double everyS) {
         expectedS = runS;
         checkpointS = everyS;
         return this;
     }
 
     /** When it was submitted. */
-    public SpecBuilder submittedMs(long value) {
+    public JobSpecBuilder submittedMs(long value) {
         submittedMs = value;
         return this;
     }
@@ -113,16 +113,16 @@
     public JobSpec build() {
         return new JobSpec(
                 id,
-                lane,
+                jobClass,
                 team,
-                shape,
-                urgency,
+                jobType,
+                priority,
                 tasks,
-                need,
+                request,
                 types,
                 zone,
                 oneZone,
-                apart,
+                spreadAcrossZones,
                 true,
                 "img",
                 1,
--- a/src/test/java/org/mountlug/api/JobParserTest.java
+++ b/src/test/java/org/mountlug/api/JobParserTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.mountlug.Samples;
+import org.mountlug.Fixtures;
 import org.mountlug.core.model.JobSpec;
+import org.mountlug.core.model.JobType;
+import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.model.Shape;
 import org.mountlug.core.model.Team;
-import org.mountlug.core.model.Urgency;
 
 /** What users may send, field by field. */
 class JobParserTest {
@@ -71,26 +71,26 @@
         m.put(field, value);
         assertEquals(
                 field,
-                assertThrows(JobParser.Malformed.class, () -> JobParser.parse(m, 0))
+                assertThrows(JobParser.MalformedJobException.class, () -> JobParser.parse(m, 0))
                         .getMessage());
     }
 
     @Test
-    void nullsMayBeOmittedAndUnknownFieldsIgnored() throws JobParser.Malformed {
+    void nullsMayBeOmittedAndUnknownFieldsIgnored() throws JobParser.MalformedJobException {
         Map<String, Object> m = good();
         m.put("colour", "red");
         JobSpec s = JobParser.parse(m, 5);
         assertEquals(16, s.tasks());
-        assertEquals(Urgency.HIGH, s.urgency());
+        assertEquals(Priority.HIGH, s.priority());
     }
 
     @ParameterizedTest(name = "{0}, {1} s")
     @CsvSource({"array, 1, ARRAY", "group, 1, GANG", "daemon, 0, SERVICE", "daemon, 3600, SERVICE", "array, 0, ARRAY"})
-    void shapes(String said, double expectedS, Shape shape) throws JobParser.Malformed {
+    void shapes(String said, double expectedS, JobType shape) throws JobParser.MalformedJobException {
         Map<String, Object> m = good();
         m.put("shape", said);
         m.put("expectedS", expectedS);
-        assertEquals(shape, JobParser.parse(m, 5).shape());
+        assertEquals(shape, JobParser.parse(m, 5).jobType());
     }
 
     @ParameterizedTest(name = "team {0}, {1} of {2} tasks of {3} CPUs: {4}")
@@ -103,9 +103,12 @@
         "t, SERVICE, 3, 4, needs more than the team's limit",
         "t, SERVICE, 2, 4, "
     })
-    void whatCanNeverRun(String team, Shape shape, int tasks, double cpus, String why) {
-        JobSpec s = Samples.spec("wk-000001", shape, tasks, new Resources(cpus, 0, 1), Urgency.HIGH);
+    void whatCanNeverRun(String team, JobType shape, int tasks, double cpus, String why) {
+        JobSpec s = Fixtures.spec("wk-000001", shape, tasks, new Resources(cpus, 0, 1), Priority.HIGH);
         Team t = new Team("t", 0, 8, 0, 0, 1);
-        assertEquals(why, JobParser.hopeless(s, n -> team.equals("t") ? t : null, List.of(Samples.SMALL, Samples.GPU)));
+        assertEquals(
+                why,
+                JobParser.unschedulableReason(
+                        s, n -> team.equals("t") ? t : null, List.of(Fixtures.SMALL_TYPE, Fixtures.GPU_TYPE)));
     }
 }
--- a/src/test/java/org/mountlug/core/admit/AdmissionPropertiesTest.java
+++ b/src/test/java/org/mountlug/core/admit/AdmissionPropertiesTest.java
@@ -29,7 +29,7 @@
     void aTurnBeforeTheEndNeverMoves(
             @ForAll @Size(min = 1, max = 30) List<@IntRange(max = 400_000) Integer> advances,
             @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 200, max = 20_000) Integer> pausesMs,
-            @ForAll @IntRange(max = HashRing.LAP - 1) int place) {
+            @ForAll @IntRange(max = HashRing.SLOTS - 1) int place) {
         CursorSchedule schedule = starting(50_000);
         long nowMs = START_MS;
         Map<Long, Long> told = new HashMap<>();
@@ -42,9 +42,10 @@
             }
             nowMs += pausesMs.get(i);
             long position = schedule.positionAt(nowMs);
-            schedule = schedule.extended(nowMs, nowMs + Constants.Admission.HORIZON_MS, advances.get(i), 30_000);
+            schedule =
+                    schedule.extended(nowMs, nowMs + Constants.Admission.SCHEDULE_HORIZON_MS, advances.get(i), 30_000);
             long moved = schedule.positionAt(nowMs) - position;
-            assertEquals(0, moved % HashRing.LAP, "the cursor is where it was, however late it is extended");
+            assertEquals(0, moved % HashRing.SLOTS, "the cursor is where it was, however late it is extended");
             for (Map.Entry<Long, Long> entry : told.entrySet()) {
                 if (entry.getKey() > nowMs - 20_000) {
                     assertEquals(entry.getValue(), schedule.nextTurnMs(place, entry.getKey()));
@@ -73,13 +74,14 @@
         long backMs = Long.MAX_VALUE;
         for (int second = 0; second < advances.size() && backMs == Long.MAX_VALUE; second++) {
             long nowMs = START_MS + second * 1000L;
-            schedule = schedule.extended(nowMs, nowMs + Constants.Admission.HORIZON_MS, advances.get(second), 10_000);
+            schedule = schedule.extended(
+                    nowMs, nowMs + Constants.Admission.SCHEDULE_HORIZON_MS, advances.get(second), 10_000);
             AdmissionTable table = new AdmissionTable(nowMs, 100, Map.of(QUEUE, schedule));
-            first.confirm(table, second);
-            twin.confirm(table, second);
+            first.updateTable(table, second);
+            twin.updateTable(table, second);
             AdmissionDecision decision = first.decide(QUEUE, job, nowMs, second);
             assertEquals(decision, twin.decide(QUEUE, job, nowMs, second));
-            if (decision instanceof AdmissionDecision.Defer defer && defer.isFinal()) {
+            if (decision instanceof AdmissionDecision.Defer defer && defer.turnIsFinal()) {
                 backMs = nowMs + defer.retryAfterS() * 1000L;
             }
         }
@@ -91,7 +93,7 @@
             schedule = schedule.extended(
                     Math.min(atMs, backMs), backMs + 2000, advances.get(step++ % advances.size()), 30_000);
         }
-        other.confirm(new AdmissionTable(backMs - 500, 100, Map.of(QUEUE, schedule)), 0);
+        other.updateTable(new AdmissionTable(backMs - 500, 100, Map.of(QUEUE, schedule)), 0);
         AdmissionDecision back = other.decide(QUEUE, job, backMs + lateMs + 2 * skewMs, 0);
         assertEquals(new AdmissionDecision.Admit(), back);
     }
@@ -130,22 +132,22 @@
             @ForAll @IntRange(min = 1, max = 4) int weight,
             @ForAll boolean ofTheFloodsTeam) {
         double ratePerS = 6;
-        TeamBuckets buckets = new TeamBuckets(Map.of("a", 1.0, "b", (double) weight), ratePerS, 1, 2);
+        TeamTokenBuckets buckets = new TeamTokenBuckets(Map.of("a", 1.0, "b", (double) weight), ratePerS, 1, 2);
         QueueId quiet = ofTheFloodsTeam ? new QueueId("a", "m") : new QueueId("b", "l");
         double partPerS = ofTheFloodsTeam ? ratePerS / (1 + weight) / 2 : ratePerS * weight / (1 + weight);
         double nowS = 1 / partPerS;
         double nextS = nowS + 1 / partPerS;
-        buckets.fill(ratePerS, 0);
-        buckets.take(quiet, 0); // a class is known from its first submission on
+        buckets.refill(ratePerS, 0);
+        buckets.tryAcquire(quiet, 0); // a class is known from its first submission on
         int taken = 1;
         for (int flood : floods) {
             nowS += 0.1;
-            buckets.fill(ratePerS, nowS);
+            buckets.refill(ratePerS, nowS);
             for (int i = 0; i < flood; i++) {
-                taken += buckets.take(QUEUE, i % 2) ? 1 : 0;
+                taken += buckets.tryAcquire(QUEUE, i % 2) ? 1 : 0;
             }
             while (nextS <= nowS) {
-                assertTrue(buckets.take(quiet, 0), quiet + " at " + nowS);
+                assertTrue(buckets.tryAcquire(quiet, 0), quiet + " at " + nowS);
                 taken++;
                 nextS += 1 / partPerS;
             }
--- a/src/test/java/org/mountlug/core/zone/DisplacementOrderTest.java
+++ b/src/test/java/org/mountlug/core/zone/DisplacementOrderTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.mountlug.Samples;
+import org.mountlug.Fixtures;
 import org.mountlug.core.allocate.TeamQueues;
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.JobSpec;
+import org.mountlug.core.model.JobType;
+import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.model.Shape;
 import org.mountlug.core.model.Team;
-import org.mountlug.core.model.Urgency;
 
 /** The order in which waiting work is placed while a zone is away. */
 class DisplacementOrderTest {
@@ -27,9 +27,9 @@
 
     private final Map<String, Double> due = new HashMap<>();
 
-    private Job job(String id, String lane, String team, Urgency urgency, double dueS, long submittedMs) {
-        JobSpec plain = Samples.spec(id, Shape.ARRAY, 4, NEED, urgency);
-        Job job = new Job(Samples.named(plain, lane, team, submittedMs));
+    private Job job(String id, String lane, String team, Priority urgency, double dueS, long submittedMs) {
+        JobSpec plain = Fixtures.spec(id, JobType.ARRAY, 4, NEED, urgency);
+        Job job = new Job(Fixtures.withClassAndTeam(plain, lane, team, submittedMs));
         due.put(id, dueS);
         return job;
     }
@@ -40,10 +40,10 @@
 
     private List<Job> four() {
         return List.of(
-                job("proof", "korrektur", "t", Urgency.HIGH, 50, 4),
-                job("score", "partitur", "t", Urgency.HIGH, 20, 3),
-                job("parts", "stamma", "t", Urgency.STANDARD, 10, 1),
-                job("more-parts", "stamma", "t", Urgency.STANDARD, 10, 2));
+                job("proof", "korrektur", "t", Priority.HIGH, 50, 4),
+                job("score", "partitur", "t", Priority.HIGH, 20, 3),
+                job("parts", "stamma", "t", Priority.STANDARD, 10, 1),
+                job("more-parts", "stamma", "t", Priority.STANDARD, 10, 2));
     }
 
     @ParameterizedTest(name = "[{0}] -> {1}")
@@ -81,7 +81,7 @@
     @Test
     void theOrderDecidesBetweenTeamsBeyondTheirGuarantees() {
         List<Job> jobs =
-                List.of(job("late", "l", "idle", Urgency.HIGH, 90, 1), job("soon", "l", "busy", Urgency.HIGH, 20, 2));
+                List.of(job("late", "l", "idle", Priority.HIGH, 90, 1), job("soon", "l", "busy", Priority.HIGH, 20, 2));
         Team idle = new Team("idle", 0, 0, 0, 0, 1);
         Team busy = new Team("busy", 0, 0, 0, 0, 1);
         assertEquals(List.of("soon", "late"), served(order(), jobs, idle, busy));
@@ -92,9 +92,9 @@
     @Test
     void guaranteesStand() {
         List<Job> jobs = List.of(
-                job("late", "l", "idle", Urgency.HIGH, 90, 1),
-                job("soon", "l", "busy", Urgency.HIGH, 20, 2),
-                job("urgent", "l", "busy", Urgency.PROD, 99, 3));
+                job("late", "l", "idle", Priority.HIGH, 90, 1),
+                job("soon", "l", "busy", Priority.HIGH, 20, 2),
+                job("urgent", "l", "busy", Priority.PROD, 99, 3));
         Team idle = new Team("idle", 10, 0, 0, 0, 1);
         Team busy = new Team("busy", 0, 0, 0, 0, 1);
         assertEquals(List.of("urgent", "late", "soon"), served(order(), jobs, idle, busy));
@@ -103,17 +103,17 @@
     /** What has waited for two minutes without beginning goes ahead of the order. */
     @Test
     void whatHasNotBegunInTimeGoesFirst() {
-        Job old = job("old", "l", "busy", Urgency.IDLE, 500, 1);
-        old.seenS = -200;
-        List<Job> jobs = List.of(job("soon", "l", "busy", Urgency.PROD, 20, 2), old);
+        Job old = job("old", "l", "busy", Priority.IDLE, 500, 1);
+        old.waitingSinceS = -200;
+        List<Job> jobs = List.of(job("soon", "l", "busy", Priority.PROD, 20, 2), old);
         assertEquals(List.of("old", "soon"), served(order(), jobs, new Team("busy", 0, 0, 0, 0, 1)));
     }
 
     @Test
     void aNamedClassIsUrgentWhateverItsPriority() {
         Job parts = four().get(2);
-        assertTrue(DisplacementOrder.urgent(parts, List.of("stamma")));
-        assertEquals(false, DisplacementOrder.urgent(parts, List.of()));
-        assertTrue(DisplacementOrder.urgent(four().get(0), List.of()));
+        assertTrue(DisplacementOrder.isUrgent(parts, List.of("stamma")));
+        assertEquals(false, DisplacementOrder.isUrgent(parts, List.of()));
+        assertTrue(DisplacementOrder.isUrgent(four().get(0), List.of()));
     }
 }
--- a/src/test/java/org/mountlug/core/zone/ReturnRampTest.java
+++ b/src/test/java/org/mountlug/core/zone/ReturnRampTest.java
@@ -10,9 +10,9 @@
 
 /** The window of a returning zone: begins small, grows by addition, is halved at once, and never passes the machines heard. */
 class ReturnRampTest {
-    private static final RampLimits LIMITS = new RampLimits(0.05, 0.1, 0.25);
+    private static final RampSettings LIMITS = new RampSettings(0.05, 0.1, 0.25);
 
-    private final ReturnRamp ramp = ReturnRamp.begin(LIMITS, 100, new ZoneStarts(0, 0, 0));
+    private final ReturnRamp ramp = ReturnRamp.start(LIMITS, 100, new ZoneStarts(0, 0, 0));
     private long succeeded;
     private long lost;
     private double nowS;
@@ -27,12 +27,12 @@
         for (int seconds = 1; seconds <= 9; seconds++) {
             step(100, 0, 0);
             assertEquals(5 + 10 * seconds, ramp.window());
-            assertFalse(ramp.full());
+            assertFalse(ramp.isFull());
         }
         step(100, 0, 0);
         assertEquals(100, ramp.window());
-        assertTrue(ramp.full());
-        assertEquals(25, ramp.downloads());
+        assertTrue(ramp.isFull());
+        assertEquals(25, ramp.maxDownloads());
     }
 
     /** Whatever is used up and gets nowhere does not grow; one start that came to nothing halves. */
--- a/src/test/java/org/mountlug/core/zone/ZonePropertiesTest.java
+++ b/src/test/java/org/mountlug/core/zone/ZonePropertiesTest.java
@@ -15,16 +15,16 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
 import net.jqwik.api.constraints.IntRange;
-import org.mountlug.Samples;
+import org.mountlug.Fixtures;
 import org.mountlug.core.allocate.Allocator;
-import org.mountlug.core.allocate.ReplicaTimes;
+import org.mountlug.core.allocate.ReplicaStartTimes;
 import org.mountlug.core.cluster.Cluster;
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.JobSpec;
+import org.mountlug.core.model.JobType;
+import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.model.Shape;
 import org.mountlug.core.model.Team;
-import org.mountlug.core.model.Urgency;
 
 /**
  * What holds of a zone's state, its ramp and the displacement order for any history. Seeds are fixed; a failure names its own,
@@ -33,7 +33,7 @@
 class ZonePropertiesTest {
     private static final int MACHINES = 40;
     private static final ZoneThresholds THRESHOLDS = new ZoneThresholds(3, 0.5, 0.8, 0.25, 0.5, 3, 4, 60, 120);
-    private static final RampLimits LIMITS = new RampLimits(0.1, 0.1, 0.5);
+    private static final RampSettings LIMITS = new RampSettings(0.1, 0.1, 0.5);
 
     /** Some seconds of the same: machines silent, starts under way, starts that succeed and that are lost each second. */
     record Stretch(int seconds, int silent, int underWay, int succeed, int lose, boolean newLeader) {}
@@ -89,7 +89,7 @@
                     new ZoneCounts(MACHINES, MACHINES, MACHINES - stretch.silent, stretch.silent, stretch.silent);
             ZoneEvidence evidence = ZoneEvidence.of(counts, true, THRESHOLDS);
             secondsSilent = evidence == ZoneEvidence.SILENT ? secondsSilent + 1 : 0;
-            boolean heard = evidence == ZoneEvidence.HEARD || evidence == ZoneEvidence.MIXED;
+            boolean heard = evidence == ZoneEvidence.REPORTING || evidence == ZoneEvidence.PARTLY_SILENT;
             secondsHeard = heard ? secondsHeard + 1 : 0;
             ZoneState before = tracker.state();
             double holdS = tracker.returnAfterS();
@@ -107,13 +107,13 @@
             if (now == ZoneState.LOST && before == ZoneState.SUSPECT) {
                 assertTrue(secondsSilent > THRESHOLDS.lostAfterS());
             }
-            assertTrue(tracker.returnAfterS() <= THRESHOLDS.returnAfterMostS());
+            assertTrue(tracker.returnAfterS() <= THRESHOLDS.maxReturnAfterS());
             assertEquals(now == ZoneState.RETURNING, tracker.ramp() != null);
             if (tracker.ramp() == null) {
                 return;
             }
             double window = tracker.ramp().window();
-            assertTrue(window >= 1 && window <= Math.max(1, counts.heard()) + 1e-9, "window " + window);
+            assertTrue(window >= 1 && window <= Math.max(1, counts.reporting()) + 1e-9, "window " + window);
             if (!Double.isNaN(windowBefore)) {
                 assertTrue(window <= windowBefore + Math.ceil(LIMITS.growShare() * MACHINES), "by addition");
                 assertTrue(stretch.lose == 0 || stretch.newLeader || window <= Math.max(1, windowBefore / 2) + 1e-9);
@@ -126,13 +126,12 @@
         Play play = new Play();
         history.forEach(play::stretch);
         // Whatever came before, a zone that is heard and takes its starts is present again within a bound.
-        int calmS =
-                (int) (THRESHOLDS.returnAfterMostS() + 2 + MACHINES / Math.ceil(LIMITS.growShare() * MACHINES)) + 10;
+        int calmS = (int) (THRESHOLDS.maxReturnAfterS() + 2 + MACHINES / Math.ceil(LIMITS.growShare() * MACHINES)) + 10;
         play.stretch(new Stretch(calmS, 0, 0, 1, 0, false));
         assertEquals(ZoneState.PRESENT, play.tracker.state());
-        play.stretch(new Stretch(20 * (int) THRESHOLDS.calmS(), 0, 0, 0, 0, false));
-        assertEquals(0, play.tracker.losses());
-        assertEquals(false, play.tracker.worthKeeping());
+        play.stretch(new Stretch(20 * (int) THRESHOLDS.lossExpiryS(), 0, 0, 0, 0, false));
+        assertEquals(0, play.tracker.recentLosses());
+        assertEquals(false, play.tracker.needsSnapshot());
     }
 
     @Provide
@@ -140,10 +139,10 @@
         Arbitrary<Job> job = Combinators.combine(
                         Arbitraries.integers().between(1, 999_999),
                         Arbitraries.of("proofs", "parts", "scores"),
-                        Arbitraries.of(Urgency.class),
+                        Arbitraries.of(Priority.class),
                         Arbitraries.longs().between(0, 50))
-                .as((number, lane, urgency, submitted) -> new Job(Samples.named(
-                        Samples.spec("wk-" + number, Shape.ARRAY, 1, new Resources(1, 0, 1), urgency),
+                .as((number, lane, urgency, submitted) -> new Job(Fixtures.withClassAndTeam(
+                        Fixtures.spec("wk-" + number, JobType.ARRAY, 1, new Resources(1, 0, 1), urgency),
                         lane,
                         "t",
                         submitted)));
@@ -172,14 +171,14 @@
     }
 
     /** A job of one-CPU tasks in one of three classes, bound to a zone or to none. */
-    record Waiting(int tasks, String lane, Urgency urgency, String site) {}
+    record Waiting(int tasks, String lane, Priority urgency, String site) {}
 
     @Provide
     Arbitrary<List<Waiting>> waiting() {
         return Combinators.combine(
                         Arbitraries.integers().between(1, 30),
                         Arbitraries.of("proofs", "parts", "scores"),
-                        Arbitraries.of(Urgency.STANDARD, Urgency.HIGH),
+                        Arbitraries.of(Priority.STANDARD, Priority.HIGH),
                         Arbitraries.frequencyOf(
                                 Tuple.of(3, Arbitraries.just("b")), Tuple.of(2, Arbitraries.of("a", "b"))))
                 .as(Waiting::new)
@@ -194,38 +193,40 @@
             @ForAll("waiting") List<Waiting> waiting,
             @ForAll("classes") List<String> classes,
             @ForAll @IntRange(min = 1, max = 8) int machinesLeft) {
-        Cluster cluster = Samples.cluster(new Team("t", 0, 0, 0, 0, 1));
+        Cluster cluster = Fixtures.cluster(new Team("t", 0, 0, 0, 0, 1));
         ZoneSettings settings = new ZoneSettings(true, classes, THRESHOLDS, LIMITS);
-        ZoneWatch zones = new ZoneWatch(cluster, settings, 10, 2);
+        ZoneMonitor zones = new ZoneMonitor(cluster, settings, 10, 2);
         for (int i = 0; i < MACHINES; i++) {
             String zone = i < machinesLeft ? "b" : "a";
-            Samples.up(cluster, "n-" + i, "small", zone);
+            Fixtures.addMachine(cluster, "n-" + i, "small", zone);
         }
         for (double now = 1; now < 20; now++) {
             for (int i = 0; i < machinesLeft; i++) {
-                cluster.machines.get("n-" + i).heardS = now;
+                cluster.machines.get("n-" + i).lastReportS = now;
             }
             zones.observe(0, now);
         }
         List<Job> jobs = new ArrayList<>();
         for (Waiting each : waiting) {
             JobSpec spec =
-                    Samples.spec("wk-" + jobs.size(), Shape.ARRAY, each.tasks, new Resources(1, 0, 1), each.urgency);
-            jobs.add(Samples.live(cluster, Samples.in(Samples.named(spec, each.lane, "t", jobs.size()), each.site)));
+                    Fixtures.spec("wk-" + jobs.size(), JobType.ARRAY, each.tasks, new Resources(1, 0, 1), each.urgency);
+            jobs.add(Fixtures.addJob(
+                    cluster,
+                    Fixtures.withZone(Fixtures.withClassAndTeam(spec, each.lane, "t", jobs.size()), each.site)));
         }
         ToDoubleFunction<Job> due = job -> job.spec.submittedMs() % 3;
-        new Allocator(cluster, zones, due, new ReplicaTimes(job -> 8, 20), 20).round();
-        DisplacementOrder order = zones.order(due);
+        new Allocator(cluster, zones, due, new ReplicaStartTimes(job -> 8, 20), 20).allocate();
+        DisplacementOrder order = zones.displacementOrder(due);
         for (Job first : jobs) {
             for (Job later : jobs) {
                 boolean sameRoom = first.spec.zone().equals(later.spec.zone());
-                if (sameRoom && order.compare(first, later) < 0 && first.open() > 0) {
-                    assertEquals(0, later.placed.size(), later.spec + " went ahead of " + first.spec);
+                if (sameRoom && order.compare(first, later) < 0 && first.pendingTaskCount() > 0) {
+                    assertEquals(0, later.placements.size(), later.spec + " went ahead of " + first.spec);
                 }
             }
         }
         for (Job job : jobs) {
-            assertTrue(job.placed.values().stream().noneMatch(placement -> placement.zone.equals("a")));
+            assertTrue(job.placements.values().stream().noneMatch(placement -> placement.zone.equals("a")));
         }
     }
 
--- a/src/test/java/org/mountlug/core/zone/ZoneTrackerTest.java
+++ b/src/test/java/org/mountlug/core/zone/ZoneTrackerTest.java
@@ -10,7 +10,7 @@
 class ZoneTrackerTest {
     private static final int MACHINES = 20;
     private static final ZoneThresholds THRESHOLDS = new ZoneThresholds(3, 0.5, 0.8, 0.25, 0.5, 3, 4, 60, 120);
-    private static final RampLimits LIMITS = new RampLimits(0.1, 0.2, 0.5);
+    private static final RampSettings LIMITS = new RampSettings(0.1, 0.2, 0.5);
 
     private final ZoneTracker tracker = new ZoneTracker("a", THRESHOLDS, LIMITS, 0);
     private double nowS;
@@ -63,12 +63,12 @@
     @CsvSource({
         "2, 0, 2, true, TOO_FEW",
         "3, 0, 3, true, SILENT",
-        "3, 0, 3, false, PARTLY_SILENT",
+        "3, 0, 3, false, MOSTLY_SILENT",
         "20, 4, 16, true, SILENT",
-        "20, 5, 15, true, PARTLY_SILENT",
+        "20, 5, 15, true, MOSTLY_SILENT",
         "20, 0, 0, true, UNDECIDED", // a leader that has just begun hears nobody and knows of no silence
-        "20, 12, 8, true, MIXED",
-        "20, 15, 5, true, HEARD"
+        "20, 12, 8, true, PARTLY_SILENT",
+        "20, 15, 5, true, REPORTING"
     })
     void countsAreJudged(int machines, int heard, int silent, boolean attributable, ZoneEvidence expected) {
         assertEquals(expected, ZoneEvidence.of(counts(machines, heard, silent), attributable, THRESHOLDS));
@@ -85,11 +85,11 @@
             show(0, seconds + 1);
             assertEquals(ZoneState.RETURNING, tracker.state(), "after " + seconds);
         }
-        int losses = tracker.losses();
-        show(0, THRESHOLDS.calmS() + 1);
-        assertEquals(losses - 1, tracker.losses());
-        show(0, losses * THRESHOLDS.calmS());
-        assertEquals(0, tracker.losses());
+        int losses = tracker.recentLosses();
+        show(0, THRESHOLDS.lossExpiryS() + 1);
+        assertEquals(losses - 1, tracker.recentLosses());
+        show(0, losses * THRESHOLDS.lossExpiryS());
+        assertEquals(0, tracker.recentLosses());
     }
 
     /** A later leader goes on from a snapshot as the first would have, through the rest of a return and the next loss. */
@@ -110,7 +110,7 @@
                 other = new ZoneTracker(tracker.snapshot(nowS), THRESHOLDS, LIMITS, nowS);
                 assertEquals(tracker.state(), other.state());
                 assertEquals(tracker.returnAfterS(), other.returnAfterS());
-                assertEquals(tracker.displaced(), other.displaced());
+                assertEquals(tracker.maxSilentMachines(), other.maxSilentMachines());
                 if (tracker.ramp() != null) {
                     assertEquals(tracker.ramp().window(), other.ramp().window());
                 }
@@ -118,6 +118,6 @@
         }
         // A dwell that was under way begins anew and a ramp takes its first step to look: seconds, no more.
         assertEquals(tracker.state(), other.state());
-        assertEquals(tracker.losses(), other.losses());
+        assertEquals(tracker.recentLosses(), other.recentLosses());
     }
 }
--- a/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.id;
+import static org.mountlug.node.FaultTestSteps.jobId;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mountlug.Constants;
-import org.mountlug.api.UserAnswer;
-import org.mountlug.node.FloodScenario.Flow;
-import org.mountlug.settings.Operators;
+import org.mountlug.api.UserResponse;
+import org.mountlug.node.LoadGenerator.LoadPhase;
+import org.mountlug.settings.OperatorSettings;
 
 /** One team floods the controllers, others ask within their shares, and something fails. */
 class AdmissionFaultsTest {
@@ -31,34 +31,37 @@
     private static final int LIMITED_MOST = 30;
 
     static Stream<Arguments> troubles() {
-        return Stream.of(AdmissionTrouble.values())
+        return Stream.of(AdmissionFault.values())
                 .flatMap(trouble -> Stream.of(3, 5).map(controllers -> Arguments.of(trouble, controllers)));
     }
 
     @ParameterizedTest(name = "{0}, {1} controllers")
     @MethodSource("troubles")
-    void whoAsksWithinItsShareIsTakenInAndNothingIsDecidedTwice(AdmissionTrouble trouble, int controllers) {
-        SimulatedCluster world = FloodScenario.cluster(controllers, FloodScenario.admission(), "a", "b");
-        FloodScenario flood = new FloodScenario(world, trouble.ordinal() * 10 + controllers);
-        flood.arrange(List.of(
-                Flow.of("a", "l", 30, 0, FLOOD_S),
-                Flow.of("b", "l", 0.6, 0, FLOOD_S),
-                Flow.of("b", "m", 0.4, 0, FLOOD_S)));
-        trouble.strike.accept(flood);
-        world.run(FLOOD_S);
-        int limited = world.state.limited;
-        world.run(FLOOD_S + 5);
-        assertEquals(List.of(), flood.broken);
-        assertEquals(List.of(), world.broken());
-        if (trouble == AdmissionTrouble.OLD_VERSION_BESIDE) {
+    void whoAsksWithinItsShareIsTakenInAndNothingIsDecidedTwice(AdmissionFault trouble, int controllers) {
+        SimulatedCluster world =
+                LoadGenerator.startCluster(controllers, LoadGenerator.operatorsWithAdmission(), "a", "b");
+        LoadGenerator flood = new LoadGenerator(world, trouble.ordinal() * 10 + controllers);
+        flood.schedule(List.of(
+                LoadPhase.of("a", "l", 30, 0, FLOOD_S),
+                LoadPhase.of("b", "l", 0.6, 0, FLOOD_S),
+                LoadPhase.of("b", "m", 0.4, 0, FLOOD_S)));
+        trouble.injection.accept(flood);
+        world.runFor(FLOOD_S);
+        int limited = world.stateService.rateLimitedRequests;
+        world.runFor(FLOOD_S + 5);
+        assertEquals(List.of(), flood.violations);
+        assertEquals(List.of(), world.violations());
+        if (trouble == AdmissionFault.FOLLOWER_OF_OLD_VERSION) {
             return; // it takes in what it can and knows no shares: one decision a submission is all that can hold
         }
         assertTrue(limited <= LIMITED_MOST, "refused by the state service: " + limited);
-        assertTrue(flood.longestLagS <= LAG_S + trouble.leaderlessS, "lag " + flood.longestLagS);
+        assertTrue(flood.longestCompletionLagS <= LAG_S + trouble.leaderlessS, "lag " + flood.longestCompletionLagS);
         for (String jobClass : List.of("l", "m")) {
-            FloodScenario.Outcome quiet = flood.outcome("b", jobClass);
+            LoadGenerator.QueueStatistics quiet = flood.statistics("b", jobClass);
             assertEquals(quiet.submitted, quiet.accepted, "all of b, which asks within its share");
-            assertTrue(quiet.slowestS <= trouble.unservedS + QUIET_BOUND_S, "slowest of b " + quiet.slowestS);
+            assertTrue(
+                    quiet.slowestAcceptanceS <= trouble.unservedS + QUIET_BOUND_S,
+                    "slowest of b " + quiet.slowestAcceptanceS);
         }
     }
 
@@ -66,42 +69,46 @@
     @ParameterizedTest(name = "{0} submissions a second, {1} controllers, refusals count {2}")
     @CsvSource({"7, 3, true", "30, 3, true", "60, 5, false", "60, 7, true", "300, 3, true", "300, 5, false"})
     void goodputDoesNotFallAsTheFloodGrows(double perS, int controllers, boolean refusalsCount) {
-        SimulatedCluster world = FloodScenario.cluster(controllers, FloodScenario.admission(), "a", "b");
-        world.state.refusalsCount = refusalsCount;
-        FloodScenario flood = new FloodScenario(world, 77);
-        flood.arrange(List.of(Flow.of("a", "l", perS, 0, 80), Flow.of("b", "l", 1, 0, 80)));
-        world.run(20);
-        int before = flood.outcome("a", "l").accepted;
-        world.run(FLOOD_S);
-        double goodputPerS = (flood.outcome("a", "l").accepted - before) / FLOOD_S;
-        double lasting = 25 * Constants.Admission.PLANNED_SHARE / (1 + Constants.Admission.CHANGES_A_JOB);
+        SimulatedCluster world =
+                LoadGenerator.startCluster(controllers, LoadGenerator.operatorsWithAdmission(), "a", "b");
+        world.stateService.refusalsConsumeLimit = refusalsCount;
+        LoadGenerator flood = new LoadGenerator(world, 77);
+        flood.schedule(List.of(LoadPhase.of("a", "l", perS, 0, 80), LoadPhase.of("b", "l", 1, 0, 80)));
+        world.runFor(20);
+        int before = flood.statistics("a", "l").accepted;
+        world.runFor(FLOOD_S);
+        double goodputPerS = (flood.statistics("a", "l").accepted - before) / FLOOD_S;
+        double lasting = 25 * Constants.Admission.PLANNED_SHARE / (1 + Constants.Admission.MIN_WRITES_PER_JOB);
         double least = (lasting - 1) * Constants.Admission.TARGET_SHARE * 0.75;
-        double most = lasting * Constants.Admission.GROWTH_MOST;
+        double most = lasting * Constants.Admission.MAX_RATE_GROWTH_FACTOR;
         assertTrue(goodputPerS >= Math.min(least, perS) && goodputPerS <= most, goodputPerS + " of " + least);
-        assertTrue(world.state.limited <= LIMITED_MOST, "refused by the state service: " + world.state.limited);
-        assertEquals(List.of(), flood.broken);
+        assertTrue(
+                world.stateService.rateLimitedRequests <= LIMITED_MOST,
+                "refused by the state service: " + world.stateService.rateLimitedRequests);
+        assertEquals(List.of(), flood.violations);
     }
 
     /** Weights decide between floods: Jain's index of what is accepted by weight is near one. */
     @ParameterizedTest(name = "weight {0}, {1} classes of the heavier team")
     @CsvSource({"1, 1", "3, 1", "1, 3"})
     void floodsShareByWeight(double weight, int classes) {
-        Operators operators = FloodScenario.admission().with(Map.of("a", weight, "b", 1.0));
-        SimulatedCluster world = FloodScenario.cluster(3, operators, "a", "b");
-        FloodScenario flood = new FloodScenario(world, 5);
-        List<Flow> flows = new ArrayList<>(List.of(Flow.of("b", "l", 30, 0, 120)));
+        OperatorSettings operators =
+                LoadGenerator.operatorsWithAdmission().withTeamWeights(Map.of("a", weight, "b", 1.0));
+        SimulatedCluster world = LoadGenerator.startCluster(3, operators, "a", "b");
+        LoadGenerator flood = new LoadGenerator(world, 5);
+        List<LoadPhase> flows = new ArrayList<>(List.of(LoadPhase.of("b", "l", 30, 0, 120)));
         for (int i = 0; i < classes; i++) {
-            flows.add(Flow.of("a", "l" + i, 30, 0, 120));
+            flows.add(LoadPhase.of("a", "l" + i, 30, 0, 120));
         }
-        flood.arrange(flows);
-        world.run(120);
+        flood.schedule(flows);
+        world.runFor(120);
         double ofA = 0;
         List<Double> ofClasses = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
-            ofClasses.add((double) flood.outcome("a", "l" + i).accepted);
-            ofA += flood.outcome("a", "l" + i).accepted / weight;
+            ofClasses.add((double) flood.statistics("a", "l" + i).accepted);
+            ofA += flood.statistics("a", "l" + i).accepted / weight;
         }
-        double fairness = jain(List.of(ofA, (double) flood.outcome("b", "l").accepted));
+        double fairness = jain(List.of(ofA, (double) flood.statistics("b", "l").accepted));
         assertTrue(fairness > 0.95, "between teams " + fairness);
         assertTrue(jain(ofClasses) > 0.95, "between classes " + ofClasses);
     }
@@ -115,32 +122,32 @@
     /** The same submission at every controller in the same instant: one is created, and all say the same of it. */
     @Test
     void theSameSubmissionAtAllControllersIsDecidedOnce() {
-        SimulatedCluster world = FloodScenario.cluster(5, FloodScenario.admission(), "a");
-        FloodScenario flood = new FloodScenario(world, 3);
-        flood.arrange(List.of(Flow.of("a", "l", 60, 0, 60)));
-        world.run(20);
+        SimulatedCluster world = LoadGenerator.startCluster(5, LoadGenerator.operatorsWithAdmission(), "a");
+        LoadGenerator flood = new LoadGenerator(world, 3);
+        flood.schedule(List.of(LoadPhase.of("a", "l", 60, 0, 60)));
+        world.runFor(20);
         Map<String, Object> queue = Map.of("crew", "a", "lane", "l");
         int deferred = 0;
         int accepted = 0;
         for (int number = 900_000; number < 900_060; number++) {
-            List<UserAnswer> answers = new ArrayList<>();
-            String job = id(number);
-            for (SimulatedCluster.Node node : world.nodes) {
-                byte[] body = node.body(job, 1, false, queue);
-                node.askLater(
+            List<UserResponse> answers = new ArrayList<>();
+            String job = jobId(number);
+            for (SimulatedCluster.ControllerProcess node : world.controllers) {
+                byte[] body = node.buildSubmission(job, 1, false, queue);
+                node.askAsync(
                         "submission",
                         job,
                         r -> node.users.submit(body, r),
-                        a -> answers.add((UserAnswer) a.get("answer")));
+                        a -> answers.add((UserResponse) a.get("answer")));
             }
-            world.run(0.3);
-            assertEquals(world.nodes.size(), answers.size(), "answered at once");
-            answers.removeIf(answer -> answer instanceof UserAnswer.Unavailable); // says nothing of the job
+            world.runFor(0.3);
+            assertEquals(world.controllers.size(), answers.size(), "answered at once");
+            answers.removeIf(answer -> answer instanceof UserResponse.Unavailable); // says nothing of the job
             Set<Object> kinds = new HashSet<>();
             int created = 0;
-            for (UserAnswer answer : answers) {
-                created += answer instanceof UserAnswer.Accepted ? 1 : 0;
-                kinds.add(answer instanceof UserAnswer.Deferred ? answer : "accepted");
+            for (UserResponse answer : answers) {
+                created += answer instanceof UserResponse.Accepted ? 1 : 0;
+                kinds.add(answer instanceof UserResponse.Deferred ? answer : "accepted");
             }
             assertEquals(1, kinds.size(), answers.toString());
             accepted += created;
@@ -148,26 +155,26 @@
             assertTrue(created <= 1, answers.toString());
         }
         assertTrue(deferred > 20, "deferred " + deferred);
-        assertEquals(List.of(), world.broken());
+        assertEquals(List.of(), world.violations());
         assertTrue(accepted > 0 || deferred == 60);
     }
 
     /** A deferred submission leaves nothing behind: cancelling it is 404, and what it is repeated with is judged anew. */
     @Test
     void aDeferredSubmissionIsNotKnown() {
-        SimulatedCluster world = FloodScenario.cluster(3, FloodScenario.admission(), "a", "b");
-        FloodScenario flood = new FloodScenario(world, 4);
-        flood.arrange(List.of(Flow.of("a", "l", 60, 0, 60)));
-        world.run(20);
-        SimulatedCluster.Node node = world.nodes.get(0);
+        SimulatedCluster world = LoadGenerator.startCluster(3, LoadGenerator.operatorsWithAdmission(), "a", "b");
+        LoadGenerator flood = new LoadGenerator(world, 4);
+        flood.schedule(List.of(LoadPhase.of("a", "l", 60, 0, 60)));
+        world.runFor(20);
+        SimulatedCluster.ControllerProcess node = world.controllers.get(0);
         Map<String, Object> flooded = Map.of("crew", "a", "lane", "l");
-        String job = id(900_000);
+        String job = jobId(900_000);
         for (int number = 900_001; !deferred(node.submit(job, 1, false, flooded)); number++) {
-            job = id(number);
+            job = jobId(number);
         }
-        assertEquals(404, node.abort(job).get("code"));
+        assertEquals(404, node.cancel(job).get("code"));
         assertEquals(404, node.poll(job).get("code"));
-        assertTrue(deferred(world.nodes.get(1).submit(job, 1, false, flooded)), "early, elsewhere");
+        assertTrue(deferred(world.controllers.get(1).submit(job, 1, false, flooded)), "early, elsewhere");
         assertEquals(400, node.submit(job, 0, false, flooded).get("code"));
         assertEquals(
                 422,
@@ -177,11 +184,11 @@
                 201,
                 node.submit(job, 1, false, Map.of("crew", "b", "lane", "l")).get("code"),
                 "of a quiet team");
-        assertEquals(200, world.nodes.get(2).abort(job).get("code"));
-        assertEquals(List.of(), world.broken());
+        assertEquals(200, world.controllers.get(2).cancel(job).get("code"));
+        assertEquals(List.of(), world.violations());
     }
 
     private static boolean deferred(Map<String, Object> answer) {
-        return answer.get("answer") instanceof UserAnswer.Deferred;
+        return answer.get("answer") instanceof UserResponse.Deferred;
     }
 }
--- a/src/test/java/org/mountlug/node/AdmissionLoopbackTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionLoopbackTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.id;
+import static org.mountlug.node.FaultTestSteps.jobId;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.mountlug.Constants;
 import org.mountlug.core.model.Team;
-import org.mountlug.settings.Operators;
+import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
 
 /** Three controllers over loopback sockets: one team floods all of them, the other's submissions go to all at once. */
@@ -30,46 +30,49 @@
 
     @Test
     void aFloodLeavesTheQuietTeamItsShareAndEachSubmissionOneDecision()
-            throws IOException, Settings.Invalid, InterruptedException {
-        Operators operators = FloodScenario.admission();
+            throws IOException, Settings.InvalidSettingException, InterruptedException {
+        OperatorSettings operators = LoadGenerator.operatorsWithAdmission();
         SimulatedCluster world = new SimulatedCluster(
                 0, List.of(new Team("t", 0, 0, 0, 0, 1), new Team("u", 0, 0, 0, 0, 1)), 5, false, 8, 8, operators);
-        world.state.rps = 200;
-        world.state.writeRps = 25;
-        world.runS = 2;
+        world.stateService.rps = 200;
+        world.stateService.writeRps = 25;
+        world.taskDurationS = 2;
         ExecutorService users = Executors.newFixedThreadPool(FLOODING_THREADS);
         try (LoopbackCluster cluster = new LoopbackCluster(world, operators, 3)) {
-            assertTrue(cluster.submit(id(1), 1, Map.of("crew", "u")), "the controllers serve");
-            cluster.until(Constants.Admission.OUTAGE_OVER_S + 1, () -> false); // all controllers have been heard
+            assertTrue(cluster.submitUntilAccepted(jobId(1), 1, Map.of("crew", "u")), "the controllers serve");
+            cluster.waitUntil(
+                    Constants.Admission.OUTAGE_RECOVERY_S + 1, () -> false); // all controllers have been heard
             AtomicInteger deferred = new AtomicInteger();
             for (int number = 0; number < FLOOD; number++) {
                 int mine = number;
                 users.execute(() -> {
-                    int status = cluster.submitAt(mine, id(10_000 + mine), Map.of("crew", "t"));
+                    int status = cluster.submitOnce(mine, jobId(10_000 + mine), Map.of("crew", "t"));
                     deferred.addAndGet(status == 429 ? 1 : 0);
-                    cluster.until(PAUSE_S, () -> false);
+                    cluster.waitUntil(PAUSE_S, () -> false);
                 });
             }
             users.shutdown();
             List<String> quiet = new ArrayList<>();
             for (int number = 0; number < QUIET; number++) {
-                String job = id(100 + number);
+                String job = jobId(100 + number);
                 quiet.add(job);
                 int created = 0;
                 for (int controller = 0; controller < 3; controller++) {
-                    created += cluster.submitAt(controller, job, Map.of("crew", "u")) == 201 ? 1 : 0;
+                    created += cluster.submitOnce(controller, job, Map.of("crew", "u")) == 201 ? 1 : 0;
                 }
                 assertTrue(created <= 1, job + " was created " + created + " times");
-                cluster.until(0.7, () -> false);
+                cluster.waitUntil(0.7, () -> false);
             }
             assertTrue(users.awaitTermination((long) WAIT_S, TimeUnit.SECONDS), "the flood is over");
             for (String job : quiet) {
-                assertTrue(cluster.submit(job, 1, Map.of("crew", "u")), job);
+                assertTrue(cluster.submitUntilAccepted(job, 1, Map.of("crew", "u")), job);
             }
             assertTrue(deferred.get() > 0, "some of the flood was deferred");
             synchronized (world) {
-                assertEquals(List.of(), world.broken());
-                assertTrue(world.state.limited < FLOOD / 10, "refused by the state service: " + world.state.limited);
+                assertEquals(List.of(), world.violations());
+                assertTrue(
+                        world.stateService.rateLimitedRequests < FLOOD / 10,
+                        "refused by the state service: " + world.stateService.rateLimitedRequests);
             }
         } finally {
             users.shutdownNow();
--- a/src/test/java/org/mountlug/node/AdmissionMeasurementTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionMeasurementTest.java
@@ -14,8 +14,8 @@
 import org.mountlug.core.admit.AdmissionTable;
 import org.mountlug.core.admit.CursorSchedule;
 import org.mountlug.core.admit.QueueId;
-import org.mountlug.node.FloodScenario.Flow;
-import org.mountlug.settings.Operators;
+import org.mountlug.node.LoadGenerator.LoadPhase;
+import org.mountlug.settings.OperatorSettings;
 
 /**
  * Measures a flood of one team beside a quiet one, with and without admission by shares, and prints a row for the table of
@@ -40,14 +40,14 @@
     @ParameterizedTest(name = "{0} a second, {1} controllers, admission {2}, refusals count {3}")
     @MethodSource("floods")
     void measure(int perS, int controllers, boolean on, boolean refusalsCount) {
-        Operators operators = on ? FloodScenario.admission() : Operators.defaults();
-        SimulatedCluster world = FloodScenario.cluster(controllers, operators, "a", "b");
-        world.state.refusalsCount = refusalsCount;
-        FloodScenario flood = new FloodScenario(world, 1);
-        flood.arrange(List.of(Flow.of("a", "l", perS, 0, FLOOD_S), Flow.of("b", "l", 1, 0, FLOOD_S)));
-        world.run(FLOOD_S + SETTLE_S);
-        FloodScenario.Outcome flooding = flood.outcome("a", "l");
-        FloodScenario.Outcome quiet = flood.outcome("b", "l");
+        OperatorSettings operators = on ? LoadGenerator.operatorsWithAdmission() : OperatorSettings.defaults();
+        SimulatedCluster world = LoadGenerator.startCluster(controllers, operators, "a", "b");
+        world.stateService.refusalsConsumeLimit = refusalsCount;
+        LoadGenerator flood = new LoadGenerator(world, 1);
+        flood.schedule(List.of(LoadPhase.of("a", "l", perS, 0, FLOOD_S), LoadPhase.of("b", "l", 1, 0, FLOOD_S)));
+        world.runFor(FLOOD_S + SETTLE_S);
+        LoadGenerator.QueueStatistics flooding = flood.statistics("a", "l");
+        LoadGenerator.QueueStatistics quiet = flood.statistics("b", "l");
         System.out.printf(
                 "| %d | %d | %s | %s | %d of %d | %d of %d | %.1f | %d | %d | %.1f | %.1f |%n",
                 perS,
@@ -58,14 +58,14 @@
                 flooding.submitted,
                 quiet.accepted,
                 quiet.submitted,
-                quiet.slowestS,
-                world.state.limited,
-                world.state.keys("f/").size(),
-                flood.longestLagS,
-                flooding.asked / (double) flooding.submitted);
+                quiet.slowestAcceptanceS,
+                world.stateService.rateLimitedRequests,
+                world.stateService.keys("f/").size(),
+                flood.longestCompletionLagS,
+                flooding.requests / (double) flooding.submitted);
         if (on) {
             assertEquals(quiet.submitted, quiet.accepted, "the quiet team");
-            assertEquals(List.of(), flood.broken);
+            assertEquals(List.of(), flood.violations);
         }
         measureRefusals();
     }
@@ -76,7 +76,7 @@
         AdmissionGate gate = new AdmissionGate(
                 AdmissionSettings.defaults(), new AdmissionGate.Deployment(Map.of("a", 1.0, "b", 1.0), 3, 25, 25));
         CursorSchedule schedule = CursorSchedule.starting(2_000_000, new long[] {500, 500, 500, 500, 500, 500});
-        gate.confirm(new AdmissionTable(2_000_000, 6, Map.of(queue, schedule)), 0);
+        gate.updateTable(new AdmissionTable(2_000_000, 6, Map.of(queue, schedule)), 0);
         int refusals = 20_000;
         int longest = 0;
         long began = System.nanoTime();
--- a/src/test/java/org/mountlug/node/GuestTeamsTest.java
+++ b/src/test/java/org/mountlug/node/BestEffortTeamsTest.java
@@ -12,7 +12,7 @@
 import org.mountlug.core.model.Team;
 
 /** A team without a guarantee brings idle work in one huge array or a swarm of small jobs, beside teams with guarantees. */
-class GuestTeamsTest {
+class BestEffortTeamsTest {
     /** Seconds within which work inside its team's guarantee should run: the aim's 10, and a start's way. */
     private static final double GUARANTEE_S = 14;
 
@@ -32,19 +32,21 @@
     @CsvSource({"one array, false", "swarm, false", "one array, true", "swarm, true"})
     void aGuaranteeIsKeptBesideAGuest(String kind, boolean newLeader) {
         SimulatedCluster world = world();
-        world.runS = 150;
+        world.taskDurationS = 150;
         fill(world, kind);
-        assertTrue(world.until(120, () -> world.used("guest") >= 38), "the guest has it all: " + world.used("guest"));
-        world.run(5);
+        assertTrue(
+                world.runUntil(120, () -> world.usedCpus("guest") >= 38),
+                "the guest has it all: " + world.usedCpus("guest"));
+        world.runFor(5);
         if (newLeader) {
             world.leader().restartAfter(0.3);
-            world.run(6);
+            world.runFor(6);
         }
-        world.accept(id(900), 20, false, Map.of("crew", "t", "urgency", "standard", "bookmarkS", 0.0));
-        double since = world.now;
-        assertTrue(world.until(60, () -> world.used("t") >= 20), "runs " + world.used("t"));
-        assertTrue(world.now - since <= GUARANTEE_S, "after " + (world.now - since) + " s");
-        assertEquals(List.of(), world.broken());
+        world.submitUntilAccepted(id(900), 20, false, Map.of("crew", "t", "urgency", "standard", "bookmarkS", 0.0));
+        double since = world.nowS;
+        assertTrue(world.runUntil(60, () -> world.usedCpus("t") >= 20), "runs " + world.usedCpus("t"));
+        assertTrue(world.nowS - since <= GUARANTEE_S, "after " + (world.nowS - since) + " s");
+        assertEquals(List.of(), world.violations());
     }
 
     /** While guaranteed work keeps coming, the guest is served at least half, and its largest job begins in four minutes. */
@@ -52,45 +54,46 @@
     @CsvSource({"one array", "swarm"})
     void theGuestIsServedBesideAStreamOfGuaranteedWork(String kind) {
         SimulatedCluster world = world();
-        world.runS = 10;
+        world.taskDurationS = 10;
         // Two thirds of the room, all the time.
         for (int i = 0; i < 60; i++) {
             int number = 500 + i;
-            world.in(5 + i * 10, () -> world.nodes.get(1).send(id(number), 24, false, Map.of("crew", "t")));
+            world.schedule(
+                    5 + i * 10, () -> world.controllers.get(1).submitAsync(id(number), 24, false, Map.of("crew", "t")));
         }
-        world.run(30);
-        double from = world.now;
+        world.runFor(30);
+        double from = world.nowS;
         Map<String, Double> begun = new HashMap<>();
         fill(world, kind);
         List<String> guests = new ArrayList<>();
-        for (String job : world.accepted()) {
+        for (String job : world.acceptedJobs()) {
             if (Integer.parseInt(job.substring(3)) < 500) {
                 guests.add(job);
             }
         }
-        while (world.now < from + 480) {
-            world.run(5);
+        while (world.nowS < from + 480) {
+            world.runFor(5);
             for (String job : guests) {
-                if (world.startsOf.containsKey(job)) {
-                    begun.putIfAbsent(job, world.now - from);
+                if (world.startsByJob.containsKey(job)) {
+                    begun.putIfAbsent(job, world.nowS - from);
                 }
             }
         }
         assertTrue(begun.size() * 2 >= guests.size(), begun.size() + " begun of " + guests.size());
         assertTrue(
                 begun.getOrDefault(guests.get(0), 1e9) <= 240, "the largest began after " + begun.get(guests.get(0)));
-        world.settle(600);
-        assertEquals(List.of(), world.broken());
+        world.runUntilSettled(600);
+        assertEquals(List.of(), world.violations());
     }
 
     private static void fill(SimulatedCluster world, String kind) {
         Map<String, Object> idle = Map.of("crew", "guest", "urgency", "idle", "dueS", 30.0);
         if (kind.equals("one array")) {
-            world.accept(id(1), 400, false, idle);
+            world.submitUntilAccepted(id(1), 400, false, idle);
             return;
         }
         for (int i = 1; i <= 120; i++) {
-            world.accept(id(i), 1, false, idle);
+            world.submitUntilAccepted(id(i), 1, false, idle);
         }
     }
 }
--- a/src/test/java/org/mountlug/node/CancellationFaultsTest.java
+++ b/src/test/java/org/mountlug/node/CancellationFaultsTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.allStarted;
-import static org.mountlug.node.FaultScenario.end;
-import static org.mountlug.node.FaultScenario.id;
-import static org.mountlug.node.FaultScenario.on;
-import static org.mountlug.node.FaultScenario.other;
-import static org.mountlug.node.FaultScenario.submit;
+import static org.mountlug.node.FaultTestSteps.activeTaskCount;
+import static org.mountlug.node.FaultTestSteps.assertSettles;
+import static org.mountlug.node.FaultTestSteps.jobId;
+import static org.mountlug.node.FaultTestSteps.otherController;
+import static org.mountlug.node.FaultTestSteps.runUntilStarted;
+import static org.mountlug.node.FaultTestSteps.submit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -42,50 +42,56 @@
     })
     void whatIsToldWhileTheLeaderIsRefusedHoldsThroughAnOutage(String shape, String by, double afterS, double outageS) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 200;
+        w.taskDurationS = 200;
         submit(w, 1, shape, 8);
-        assertTrue(allStarted(w, 8));
-        w.run(4);
-        SimulatedCluster.Node old = w.leader();
-        SimulatedCluster.Node first = other(w, old);
-        SimulatedCluster.Node second =
-                w.nodes.stream().filter(n -> n != old && n != first).findFirst().orElseThrow();
-        old.link = StateStandIn.Link.REFUSED;
-        w.run(afterS);
+        assertTrue(runUntilStarted(w, 8));
+        w.runFor(4);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        SimulatedCluster.ControllerProcess first = otherController(w, old);
+        SimulatedCluster.ControllerProcess second = w.controllers.stream()
+                .filter(n -> n != old && n != first)
+                .findFirst()
+                .orElseThrow();
+        old.stateLink = FakeStateService.Link.REFUSED;
+        w.runFor(afterS);
         if (by.equals("abort")) {
-            assertEquals("withdrawn", first.abort(id(1)).get("status"));
+            assertEquals("withdrawn", first.cancel(jobId(1)).get("status"));
         } else {
             // The abort is durable, and its answer lost: nobody was told of it yet.
-            first.link = StateStandIn.Link.UNHEARD;
-            first.askLater("abort", id(1), r -> first.users.abort(id(1), r), null);
-            w.run(0.02);
-            assertEquals(1, w.state.unheard);
-            first.link = StateStandIn.Link.GOOD;
-            SimulatedCluster.Node teller = by.equals("third node") ? second : first;
+            first.stateLink = FakeStateService.Link.RESPONSES_LOST;
+            first.askAsync("abort", jobId(1), r -> first.users.cancel(jobId(1), r), null);
+            w.runFor(0.02);
+            assertEquals(1, w.stateService.writesWithLostResponse);
+            first.stateLink = FakeStateService.Link.HEALTHY;
+            SimulatedCluster.ControllerProcess teller = by.equals("third node") ? second : first;
             Map<String, Object> a =
                     switch (by) {
-                        case "poll", "third node" -> teller.poll(id(1));
+                        case "poll", "third node" -> teller.poll(jobId(1));
                         case "submission" -> {
                             List<Map<String, Object>> got = new ArrayList<>();
-                            teller.askLater("submission", id(1), r -> teller.users.submit(w.body(id(1)), r), got::add);
-                            w.until(5, () -> !got.isEmpty());
+                            teller.askAsync(
+                                    "submission",
+                                    jobId(1),
+                                    r -> teller.users.submit(w.originalSubmission(jobId(1)), r),
+                                    got::add);
+                            w.runUntil(5, () -> !got.isEmpty());
                             yield got.get(0);
                         }
-                        default -> teller.abort(id(1));
+                        default -> teller.cancel(jobId(1));
                     };
             assertEquals("withdrawn", a.get("status"));
         }
-        w.run(outageS);
-        w.state.outage = true;
+        w.runFor(outageS);
+        w.stateService.outage = true;
         long token = old.token();
-        w.run(SimulatedCluster.CANCEL_S + 1);
-        assertTrue(old.controller.leads() && old.token() == token, "nobody else could be elected");
-        assertEquals(0, on(w, id(1)), "gone in time");
-        w.run(25);
-        w.state.recover();
-        old.link = StateStandIn.Link.GOOD;
-        end(w, 100);
-        assertEquals("withdrawn", w.outcome(id(1)));
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 1);
+        assertTrue(old.controller.isLeading() && old.token() == token, "nobody else could be elected");
+        assertEquals(0, activeTaskCount(w, jobId(1)), "gone in time");
+        w.runFor(25);
+        w.stateService.recover();
+        old.stateLink = FakeStateService.Link.HEALTHY;
+        assertSettles(w, 100);
+        assertEquals("withdrawn", w.outcome(jobId(1)));
     }
 
     /** The same while a node that told of cancellations comes back within a fraction of a second, or cannot be asked. */
@@ -100,45 +106,45 @@
     void knowledgeOfCancellationsStopsWithTheWordOfWhoTold(String what) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.capacity = 150;
-        w.runS = 200;
-        w.accept(id(1), 8, false);
+        w.taskDurationS = 200;
+        w.submitUntilAccepted(jobId(1), 8, false);
         int many = what.startsWith("told of") ? 600 : 0;
         for (int i = 0; i < many; i++) {
-            w.accept(id(1000 + i), 1, false, Map.of("vcpus", 0.1, "ramGb", 0.1));
-        }
-        assertTrue(allStarted(w, 8 + many));
-        w.run(4);
-        SimulatedCluster.Node old = w.leader();
-        SimulatedCluster.Node teller = other(w, old);
-        old.link = StateStandIn.Link.REFUSED;
-        w.run(0.3);
+            w.submitUntilAccepted(jobId(1000 + i), 1, false, Map.of("vcpus", 0.1, "ramGb", 0.1));
+        }
+        assertTrue(runUntilStarted(w, 8 + many));
+        w.runFor(4);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        SimulatedCluster.ControllerProcess teller = otherController(w, old);
+        old.stateLink = FakeStateService.Link.REFUSED;
+        w.runFor(0.3);
         if (!what.startsWith("is back in 0.2 s and")) {
-            w.run(0.4);
+            w.runFor(0.4);
         }
         if (what.equals("is cut from its peers")) {
             teller.cutFromPeers = true;
         }
         for (int i = 0; i < many; i++) {
-            String j = id(1000 + i);
-            teller.askLater("abort", j, r -> teller.users.abort(j, r), null);
+            String j = jobId(1000 + i);
+            teller.askAsync("abort", j, r -> teller.users.cancel(j, r), null);
             if (i % 25 == 24) {
-                w.run(0.05);
+                w.runFor(0.05);
             }
         }
-        assertEquals("withdrawn", teller.abort(id(1)).get("status"));
-        w.run(0.01);
+        assertEquals("withdrawn", teller.cancel(jobId(1)).get("status"));
+        w.runFor(0.01);
         if (what.startsWith("is back")) {
             teller.restartAfter(0.2);
         }
-        w.state.outage = true;
-        w.run(SimulatedCluster.CANCEL_S + 1);
-        assertEquals(0, on(w, id(1)), "gone in time");
-        w.run(20);
+        w.stateService.outage = true;
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 1);
+        assertEquals(0, activeTaskCount(w, jobId(1)), "gone in time");
+        w.runFor(20);
         teller.cutFromPeers = false;
-        w.state.recover();
-        old.link = StateStandIn.Link.GOOD;
-        w.runS = 5;
-        end(w, 120);
+        w.stateService.recover();
+        old.stateLink = FakeStateService.Link.HEALTHY;
+        w.taskDurationS = 5;
+        assertSettles(w, 120);
     }
 
     /**
@@ -163,48 +169,49 @@
     })
     void aNoticeThatComesWhileALeaderLoadsIsNotLost(double intoS, double cancelS, double forS, String last) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 300;
-        w.accept(id(1), 8, false);
+        w.taskDurationS = 300;
+        w.submitUntilAccepted(jobId(1), 8, false);
         for (int i = 2; i < 9; i++) {
-            w.accept(id(i), 1, false); // more than a page of records
+            w.submitUntilAccepted(jobId(i), 1, false); // more than a page of records
         }
-        assertTrue(allStarted(w, 15));
-        w.run(4);
-        SimulatedCluster.Node before = w.leader();
+        assertTrue(runUntilStarted(w, 15));
+        w.runFor(4);
+        SimulatedCluster.ControllerProcess before = w.leader();
         boolean[] began = new boolean[1];
-        w.onLead.add(n -> {
+        w.onTermStart.add(n -> {
             if (n == before || began[0]) {
                 return;
             }
             began[0] = true;
-            w.in(intoS, () -> n.link = StateStandIn.Link.REFUSED);
+            w.schedule(intoS, () -> n.stateLink = FakeStateService.Link.REFUSED);
         });
         if (last.equals("ended")) {
             before.kill();
         } else {
-            before.freeze(90);
+            before.pause(90);
         }
         if (cancelS < 0) {
-            assertEquals("withdrawn", other(w, before).abort(id(1)).get("status"));
+            assertEquals(
+                    "withdrawn", otherController(w, before).cancel(jobId(1)).get("status"));
         }
-        assertTrue(w.until(20, () -> began[0]));
-        SimulatedCluster.Node now = w.leader();
-        w.run(Math.max(0, cancelS));
-        SimulatedCluster.Node teller = other(w, now);
+        assertTrue(w.runUntil(20, () -> began[0]));
+        SimulatedCluster.ControllerProcess now = w.leader();
+        w.runFor(Math.max(0, cancelS));
+        SimulatedCluster.ControllerProcess teller = otherController(w, now);
         if (cancelS >= 0) {
-            assertEquals("withdrawn", teller.abort(id(1)).get("status"));
-        }
-        w.run(0.1);
-        w.state.outage = true;
-        w.run(forS);
-        assertEquals(0, on(w, id(1)), "gone in time");
-        w.state.recover();
-        now.link = StateStandIn.Link.GOOD;
+            assertEquals("withdrawn", teller.cancel(jobId(1)).get("status"));
+        }
+        w.runFor(0.1);
+        w.stateService.outage = true;
+        w.runFor(forS);
+        assertEquals(0, activeTaskCount(w, jobId(1)), "gone in time");
+        w.stateService.recover();
+        now.stateLink = FakeStateService.Link.HEALTHY;
         if (last.equals("ended")) {
-            before.boot();
+            before.start();
         }
-        w.runS = 5;
-        end(w, 200);
+        w.taskDurationS = 5;
+        assertSettles(w, 200);
     }
 
     /** Stops of cancelled jobs need no write and no proof of leading: machines that cannot report get them straight. */
@@ -212,30 +219,30 @@
     @ValueSource(strings = {"array", "gang", "service"})
     void stopsOfCancelledJobsLeaveAtOnceThoughNoWriteCan(String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 200;
+        w.taskDurationS = 200;
         submit(w, 1, shape, 8);
-        assertTrue(allStarted(w, 8));
-        w.run(4);
-        SimulatedCluster.Node old = w.leader();
-        old.link = StateStandIn.Link.REFUSED;
+        assertTrue(runUntilStarted(w, 8));
+        w.runFor(4);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        old.stateLink = FakeStateService.Link.REFUSED;
         old.cutFromPeers = true;
-        w.run(2.2);
-        assertEquals("withdrawn", other(w, old).abort(id(1)).get("status"));
-        w.state.outage = true;
+        w.runFor(2.2);
+        assertEquals("withdrawn", otherController(w, old).cancel(jobId(1)).get("status"));
+        w.stateService.outage = true;
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.mute = true;
+            k.reportsBlocked = true;
         }
-        w.run(3); // by now the leader cannot prove that it leads
+        w.runFor(3); // by now the leader cannot prove that it leads
         old.cutFromPeers = false;
-        w.run(2.5);
-        assertTrue(old.controller.leads());
-        assertEquals(0, on(w, id(1)), "stopped straight, well before their leases run out");
+        w.runFor(2.5);
+        assertTrue(old.controller.isLeading());
+        assertEquals(0, activeTaskCount(w, jobId(1)), "stopped straight, well before their leases run out");
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.mute = false;
+            k.reportsBlocked = false;
         }
-        w.state.recover();
-        old.link = StateStandIn.Link.GOOD;
-        end(w, 100);
+        w.stateService.recover();
+        old.stateLink = FakeStateService.Link.HEALTHY;
+        assertSettles(w, 100);
     }
 
     /**
@@ -261,70 +268,70 @@
     })
     void noNodeAnswersAnythingOlder(String after, String with) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 3;
-        w.accept(id(99), 4, false);
-        w.run(10);
+        w.taskDurationS = 3;
+        w.submitUntilAccepted(jobId(99), 4, false);
+        w.runFor(10);
         int[] looks = new int[1];
         boolean[] on = {true};
-        for (SimulatedCluster.Node n : w.nodes) {
-            n.link = with.equals("lost answers")
-                    ? StateStandIn.Link.UNHEARD
-                    : with.equals("late writes") ? StateStandIn.Link.LATE : StateStandIn.Link.GOOD;
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
+            n.stateLink = with.equals("lost answers")
+                    ? FakeStateService.Link.RESPONSES_LOST
+                    : with.equals("late writes") ? FakeStateService.Link.WRITES_DELAYED : FakeStateService.Link.HEALTHY;
         }
         for (int k = 0; k < 6; k++) {
-            String id = id(1 + k);
+            String id = jobId(1 + k);
             boolean cancel = after.equals("cancelled") || k % 3 == 2;
-            w.in(k * 1.7, () -> w.nodes.get(id.charAt(8) % 3).sendFresh(id, 3));
+            w.schedule(k * 1.7, () -> w.controllers.get(id.charAt(8) % 3).submitAsync(id, 3));
             // Again and again at every node, each question a few milliseconds after the last.
             for (int q = 0; q < 500; q++) {
                 int turn = q;
-                w.in(k * 1.7 + 0.004 + q * 0.023, () -> {
+                w.schedule(k * 1.7 + 0.004 + q * 0.023, () -> {
                     if (!on[0]) {
                         return;
                     }
-                    SimulatedCluster.Node n = w.nodes.get(turn % 3);
+                    SimulatedCluster.ControllerProcess n = w.controllers.get(turn % 3);
                     if (turn % 7 == 3) {
-                        n.repeat(id);
+                        n.resubmit(id);
                     } else {
-                        n.askLater("poll", id, r -> n.users.poll(id, r), null);
+                        n.askAsync("poll", id, r -> n.users.poll(id, r), null);
                     }
                     looks[0]++;
                 });
             }
             if (cancel) {
-                w.in(k * 1.7 + (after.equals("cancelled") ? 0.01 + k * 0.4 : 4.4), () -> {
-                    for (SimulatedCluster.Node n : w.nodes) {
-                        n.askLater("abort", id, r -> n.users.abort(id, r), null);
+                w.schedule(k * 1.7 + (after.equals("cancelled") ? 0.01 + k * 0.4 : 4.4), () -> {
+                    for (SimulatedCluster.ControllerProcess n : w.controllers) {
+                        n.askAsync("abort", id, r -> n.users.cancel(id, r), null);
                     }
                 });
             }
         }
         if (with.equals("new leader")) {
             for (double t : new double[] {2, 6.2}) {
-                w.in(t, () -> w.leader().restartAfter(0.2));
+                w.schedule(t, () -> w.leader().restartAfter(0.2));
             }
         }
         if (with.equals("refused")) {
-            w.in(4, () -> {
-                SimulatedCluster.Node l = w.leader();
-                l.link = StateStandIn.Link.REFUSED;
-                w.in(7, () -> l.link = StateStandIn.Link.GOOD);
+            w.schedule(4, () -> {
+                SimulatedCluster.ControllerProcess l = w.leader();
+                l.stateLink = FakeStateService.Link.REFUSED;
+                w.schedule(7, () -> l.stateLink = FakeStateService.Link.HEALTHY);
             });
         }
-        w.run(22);
+        w.runFor(22);
         on[0] = false;
         if (with.equals("lost answers")) {
-            assertTrue(w.state.unheard > 5, "answers were lost");
+            assertTrue(w.stateService.writesWithLostResponse > 5, "answers were lost");
         }
         if (with.equals("late writes")) {
-            assertTrue(w.state.lateSucceeded > 2, "late ones were carried out");
+            assertTrue(w.stateService.delayedWritesSucceeded > 2, "late ones were carried out");
         }
-        for (SimulatedCluster.Node n : w.nodes) {
-            n.link = StateStandIn.Link.GOOD;
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
+            n.stateLink = FakeStateService.Link.HEALTHY;
         }
         assertTrue(looks[0] > 2500);
-        end(w, 120);
-        assertTrue(w.accepted().size() > 3, "some were accepted meanwhile");
+        assertSettles(w, 120);
+        assertTrue(w.acceptedJobs().size() > 3, "some were accepted meanwhile");
     }
 
     /**
@@ -344,44 +351,47 @@
     })
     void aLeaderThatWasRefusedAmidItsLastWriteTellsTheOutcomeOfAnother(double beforeS, double backS) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 6;
-        w.accept(id(1), 1, false);
-        assertTrue(allStarted(w, 1));
-        SimulatedCluster.Node old = w.leader();
-        SimulatedCluster.Node teller = other(w, old);
+        w.taskDurationS = 6;
+        w.submitUntilAccepted(jobId(1), 1, false);
+        assertTrue(runUntilStarted(w, 1));
+        SimulatedCluster.ControllerProcess old = w.leader();
+        SimulatedCluster.ControllerProcess teller = otherController(w, old);
         boolean[] met = new boolean[1];
         // The moment of the write that ends the job: the abort is there first, and from then on the leader is refused.
-        w.state.onMulti = (from, body) -> {
-            if (met[0] || from != old || !body.toString().contains("delete=j/" + id(1))) {
+        w.stateService.onTransaction = (from, body) -> {
+            if (met[0] || from != old || !body.toString().contains("delete=j/" + jobId(1))) {
                 return;
             }
             met[0] = true;
-            w.state.onMulti = null;
-            Map<String, Object> v = new HashMap<>(org.mountlug.wire.Fields.map(w.state.value("j/" + id(1))));
+            w.stateService.onTransaction = null;
+            Map<String, Object> v =
+                    new HashMap<>(org.mountlug.wire.Fields.asMap(w.stateService.value("j/" + jobId(1))));
             v.put("x", true);
-            w.state.scribble("j/" + id(1), v);
-            w.in(beforeS, () -> {
-                old.link = StateStandIn.Link.REFUSED;
+            w.stateService.writeUnchecked("j/" + jobId(1), v);
+            w.schedule(beforeS, () -> {
+                old.stateLink = FakeStateService.Link.REFUSED;
                 old.cutFromPeers = old.cutFromWorkers = true;
             });
-            w.in(beforeS + 0.001, () -> teller.askLater("abort", id(1), r -> teller.users.abort(id(1), r), null));
+            w.schedule(
+                    beforeS + 0.001,
+                    () -> teller.askAsync("abort", jobId(1), r -> teller.users.cancel(jobId(1), r), null));
         };
-        assertTrue(w.until(30, () -> met[0]));
+        assertTrue(w.runUntil(30, () -> met[0]));
         assertTrue(
-                w.until(15, () -> w.leader() != old && w.state.value("f/" + id(1)) != null),
+                w.runUntil(15, () -> w.leader() != old && w.stateService.value("f/" + jobId(1)) != null),
                 "another leader finished it");
         // It reads what became of its write in the moment in which it still takes itself for the leader.
-        w.run(backS);
-        old.link = StateStandIn.Link.GOOD;
+        w.runFor(backS);
+        old.stateLink = FakeStateService.Link.HEALTHY;
         for (int i = 0; i < 40; i++) {
-            w.run(0.05);
-            for (SimulatedCluster.Node n : w.nodes) {
-                n.askLater("poll", id(1), r -> n.users.poll(id(1), r), null);
+            w.runFor(0.05);
+            for (SimulatedCluster.ControllerProcess n : w.controllers) {
+                n.askAsync("poll", jobId(1), r -> n.users.poll(jobId(1), r), null);
             }
         }
         old.cutFromPeers = old.cutFromWorkers = false;
-        end(w, 60);
-        assertEquals("withdrawn", w.outcome(id(1)));
+        assertSettles(w, 60);
+        assertEquals("withdrawn", w.outcome(jobId(1)));
     }
 
     /** Teams at their limit, machines of theirs cut off or hung, jobs cancelled meanwhile, and the leader changes. */
@@ -402,55 +412,56 @@
     void aTeamAtItsLimitWhileCancelledTasksCannotBeAsked(String how, double forS, double endsS, String shape) {
         SimulatedCluster w =
                 new SimulatedCluster(3, List.of(new Team("t", 0, 24, 0, 0, 1), new Team("u", 0, 12, 0, 0, 1)));
-        w.runS = 150;
+        w.taskDurationS = 150;
         for (int i = 1; i <= 3; i++) {
             submit(w, i, shape, 8);
         }
         for (int i = 11; i <= 13; i++) {
-            w.accept(id(i), 4, false, Map.of("crew", "u"));
+            w.submitUntilAccepted(jobId(i), 4, false, Map.of("crew", "u"));
         }
-        assertTrue(w.until(90, () -> w.used("t") >= 24 && w.used("u") >= 12), "both teams are at their limits");
+        assertTrue(
+                w.runUntil(90, () -> w.usedCpus("t") >= 24 && w.usedCpus("u") >= 12), "both teams are at their limits");
         for (int i = 4; i <= 6; i++) {
             submit(w, i, shape, 8);
         }
         for (int i = 14; i <= 16; i++) {
-            w.accept(id(i), 4, false, Map.of("crew", "u"));
+            w.submitUntilAccepted(jobId(i), 4, false, Map.of("crew", "u"));
         }
-        w.run(3);
+        w.runFor(3);
         List<SimulatedCluster.Worker> lost = new ArrayList<>(w.workers.values()).subList(0, w.workers.size() / 2 + 1);
-        SimulatedCluster.Node old = w.leader();
+        SimulatedCluster.ControllerProcess old = w.leader();
         if (endsS < 0) {
             old.restartAfter(1);
         }
         for (SimulatedCluster.Worker k : lost) {
-            k.cut = how.equals("cut");
-            k.mute = how.equals("mute");
-            k.deaf = how.equals("deaf");
+            k.disconnected = how.equals("cut");
+            k.reportsBlocked = how.equals("mute");
+            k.inboundBlocked = how.equals("deaf");
             if (how.equals("hang")) {
-                k.hangsUntil = w.now + forS;
+                k.hungUntilS = w.nowS + forS;
             }
-            w.in(forS, () -> k.cut = k.mute = k.deaf = false);
+            w.schedule(forS, () -> k.disconnected = k.reportsBlocked = k.inboundBlocked = false);
         }
-        w.run(0.2);
-        assertTrue(w.used("t") >= 24 - 1e-6, "still at its limit");
-        SimulatedCluster.Node teller =
-                w.nodes.stream().filter(n -> n != old).findFirst().orElseThrow();
+        w.runFor(0.2);
+        assertTrue(w.usedCpus("t") >= 24 - 1e-6, "still at its limit");
+        SimulatedCluster.ControllerProcess teller =
+                w.controllers.stream().filter(n -> n != old).findFirst().orElseThrow();
         for (int i : new int[] {1, 2, 11}) {
-            teller.abort(id(i));
+            teller.cancel(jobId(i));
         }
         if (endsS >= 0) {
-            w.in(endsS, () -> old.restartAfter(1));
+            w.schedule(endsS, () -> old.restartAfter(1));
         }
-        w.run(forS + 5);
-        assertTrue(w.cancelledAt.containsKey(id(1)));
-        w.runS = 5;
+        w.runFor(forS + 5);
+        assertTrue(w.cancelAcknowledgedAtS.containsKey(jobId(1)));
+        w.taskDurationS = 5;
         for (int i = 1; i <= 6; i++) {
             if (shape.equals("service") && i > 2) {
-                w.nodes.get(0).abort(id(i));
+                w.controllers.get(0).cancel(jobId(i));
             }
         }
-        end(w, 200);
-        assertTrue(w.fullest > 0.99);
+        assertSettles(w, 200);
+        assertTrue(w.peakTeamLimitShare > 0.99);
     }
 
     /** Jobs are cancelled in the seconds in which the work of one controller changes hands; controllers hand over and back. */
@@ -467,83 +478,86 @@
     })
     void cancellationsAmidAHandOver(double atS, String shape) {
         SimulatedCluster w = new SimulatedCluster(5);
-        w.runS = 120;
+        w.taskDurationS = 120;
         for (int i = 1; i <= 4; i++) {
             submit(w, i, shape, 4);
         }
-        assertTrue(allStarted(w, 16));
-        w.run(3);
+        assertTrue(runUntilStarted(w, 16));
+        w.runFor(3);
         int[] told = new int[1];
         for (int i = 1; i <= 3; i++) {
-            String id = id(i);
+            String id = jobId(i);
             double at = 1 + atS + i * 0.13;
             for (int n = 0; n < 5; n++) {
-                SimulatedCluster.Node node = w.nodes.get(n);
-                w.in(at + n * 0.4, () -> node.askLater("abort", id, r -> node.users.abort(id, r), m -> told[0]++));
+                SimulatedCluster.ControllerProcess node = w.controllers.get(n);
+                w.schedule(
+                        at + n * 0.4, () -> node.askAsync("abort", id, r -> node.users.cancel(id, r), m -> told[0]++));
             }
         }
-        w.in(1, () -> w.leader().restartAfter(0.3));
-        w.in(6, () -> {
+        w.schedule(1, () -> w.leader().restartAfter(0.3));
+        w.schedule(6, () -> {
             if (w.leader() != null) {
                 w.leader().restartAfter(0.1);
             }
         });
-        w.in(9, () -> {
-            for (SimulatedCluster.Node n : w.nodes) {
-                n.restartAfter(0.2 + 0.3 * w.nodes.indexOf(n)); // all end, and one is back first
+        w.schedule(9, () -> {
+            for (SimulatedCluster.ControllerProcess n : w.controllers) {
+                n.restartAfter(0.2 + 0.3 * w.controllers.indexOf(n)); // all end, and one is back first
             }
         });
-        w.run(SimulatedCluster.CANCEL_S + 14);
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 14);
         assertTrue(told[0] >= 3);
         for (int i = 1; i <= 3; i++) {
-            assertEquals(0, on(w, id(i)));
+            assertEquals(0, activeTaskCount(w, jobId(i)));
         }
-        w.runS = 5;
-        end(w, 200);
+        w.taskDurationS = 5;
+        assertSettles(w, 200);
     }
 
     /** One-task jobs four a second, a quarter of them cancelled, many submitted again once over, while leaders change. */
     @Test
     void aSwarmOfOneTaskJobsAQuarterCancelled() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 2;
-        w.state.rps = 200;
-        w.state.writeRps = 25;
+        w.taskDurationS = 2;
+        w.stateService.rps = 200;
+        w.stateService.writeRps = 25;
         for (int i = 0; i < 240; i++) {
             int n = i;
-            w.in(2 + i * 0.25, () -> {
-                SimulatedCluster.Node a = w.nodes.get(n % 3);
+            w.schedule(2 + i * 0.25, () -> {
+                SimulatedCluster.ControllerProcess a = w.controllers.get(n % 3);
                 if (a.up) {
-                    a.sendFresh(id(n), 1);
+                    a.submitAsync(jobId(n), 1);
                 }
                 if (n % 3 == 0) {
-                    w.in(6 + n % 11, () -> {
-                        if (w.accepted().contains(id(n))) {
-                            w.nodes.get((n + 2) % 3).repeat(id(n));
+                    w.schedule(6 + n % 11, () -> {
+                        if (w.acceptedJobs().contains(jobId(n))) {
+                            w.controllers.get((n + 2) % 3).resubmit(jobId(n));
                         }
                     });
                 }
                 if (n % 4 == 1) {
-                    w.in(0.05 + n % 13 * 0.3, () -> {
-                        SimulatedCluster.Node b = w.nodes.get((n + 1) % 3);
-                        b.askLater("abort", id(n), r -> b.users.abort(id(n), r), null);
+                    w.schedule(0.05 + n % 13 * 0.3, () -> {
+                        SimulatedCluster.ControllerProcess b = w.controllers.get((n + 1) % 3);
+                        b.askAsync("abort", jobId(n), r -> b.users.cancel(jobId(n), r), null);
                     });
                 }
             });
         }
         for (double t = 12; t < 60; t += 12) {
-            w.in(t, () -> {
+            w.schedule(t, () -> {
                 if (w.leader() != null) {
                     w.leader().restartAfter(0.5);
                 }
             });
         }
-        w.run(66);
-        assertTrue(w.accepted().size() > 150);
-        assertTrue(w.cancelledAt.size() > 30);
+        w.runFor(66);
+        assertTrue(w.acceptedJobs().size() > 150);
+        assertTrue(w.cancelAcknowledgedAtS.size() > 30);
         // Some eight changes a second come from users and as many from the work: both have their part of the limit.
-        assertTrue(w.state.limited <= 5, () -> w.state.limited + " requests were over the limits");
-        end(w, 150);
+        assertTrue(
+                w.stateService.rateLimitedRequests <= 5,
+                () -> w.stateService.rateLimitedRequests + " requests were over the limits");
+        assertSettles(w, 150);
     }
 
     /**
@@ -567,46 +581,46 @@
     })
     void nothingStartsOnceTheLeaderCanHaveHeardOfACancellation(double afterS, String leader) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 30;
-        w.accept(id(90), 24, false, Map.of("dueS", 20.0));
-        assertTrue(w.until(60, () -> on(w, id(90)) == 24));
-        w.nodes.get(0).abort(id(90));
-        w.run(4);
-        w.latestStartS = -1;
+        w.taskDurationS = 30;
+        w.submitUntilAccepted(jobId(90), 24, false, Map.of("dueS", 20.0));
+        assertTrue(w.runUntil(60, () -> activeTaskCount(w, jobId(90)) == 24));
+        w.controllers.get(0).cancel(jobId(90));
+        w.runFor(4);
+        w.latestStartAfterCancelS = -1;
         int[] met = new int[1];
-        SimulatedCluster.Node old = w.leader();
-        SimulatedCluster.Node teller = other(w, old);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        SimulatedCluster.ControllerProcess teller = otherController(w, old);
         for (int i = 1; i <= 4; i++) {
-            String id = id(i);
-            w.in(0.35 * i, () -> teller.sendFresh(id, 5));
+            String id = jobId(i);
+            w.schedule(0.35 * i, () -> teller.submitAsync(id, 5));
         }
-        w.state.onMulti = (from, body) -> {
+        w.stateService.onTransaction = (from, body) -> {
             for (int i = 1; i <= 4; i++) {
-                String id = id(i);
+                String id = jobId(i);
                 if (from != old
-                        || w.cancelledAt.containsKey(id)
+                        || w.cancelAcknowledgedAtS.containsKey(id)
                         || !body.toString().contains("put=j/" + id)) {
                     continue;
                 }
-                w.in(afterS, () -> {
+                w.schedule(afterS, () -> {
                     if (leader.equals("refused")) {
-                        old.link = StateStandIn.Link.REFUSED;
+                        old.stateLink = FakeStateService.Link.REFUSED;
                     }
                     if (leader.equals("ends") && old.up) {
                         old.restartAfter(0.3);
                     }
-                    teller.askLater("abort", id, r -> teller.users.abort(id, r), a -> met[0]++);
+                    teller.askAsync("abort", id, r -> teller.users.cancel(id, r), a -> met[0]++);
                 });
             }
         };
-        w.run(5);
-        w.state.onMulti = null;
-        old.link = StateStandIn.Link.GOOD;
+        w.runFor(5);
+        w.stateService.onTransaction = null;
+        old.stateLink = FakeStateService.Link.HEALTHY;
         assertTrue(met[0] > 0, "jobs were cancelled just after they were placed");
-        w.run(10);
+        w.runFor(10);
         double most = leader.equals("refused") ? 1.1 : 0.4;
-        assertTrue(w.latestStartS < most, () -> "a start " + w.latestStartS + " s after");
-        end(w, 100);
+        assertTrue(w.latestStartAfterCancelS < most, () -> "a start " + w.latestStartAfterCancelS + " s after");
+        assertSettles(w, 100);
     }
 
     /** A cancellation, a question or a repeated submission meets the end of a job's last task. */
@@ -625,41 +639,41 @@
     })
     void aCancellationMeetsTheEndOfTheLastTask(String shape, double afterS) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 6;
+        w.taskDurationS = 6;
         for (int i = 1; i <= 8; i++) {
             submit(w, i, shape, 2);
         }
-        assertTrue(allStarted(w, 16));
+        assertTrue(runUntilStarted(w, 16));
         boolean[] met = new boolean[9];
         for (double t = 0; t < 12; t += 0.05) {
-            w.in(t, () -> {
+            w.schedule(t, () -> {
                 for (int i = 1; i <= 8; i++) {
-                    String id = id(i);
+                    String id = jobId(i);
                     double least = w.workers.values().stream()
-                            .flatMap(k -> k.held().stream())
-                            .filter(x -> x.job.equals(id))
+                            .flatMap(k -> k.activeTasks().stream())
+                            .filter(x -> x.jobId.equals(id))
                             .mapToDouble(x -> x.ranS)
                             .min()
                             .orElse(99);
-                    if (met[i] || least < w.runS + Math.min(0, afterS) - 0.01) {
+                    if (met[i] || least < w.taskDurationS + Math.min(0, afterS) - 0.01) {
                         continue;
                     }
                     met[i] = true;
-                    w.in(Math.max(0, afterS), () -> {
-                        for (SimulatedCluster.Node n : w.nodes) {
-                            n.askLater("abort", id, r -> n.users.abort(id, r), null);
-                            n.askLater("poll", id, r -> n.users.poll(id, r), null);
-                            n.repeat(id);
+                    w.schedule(Math.max(0, afterS), () -> {
+                        for (SimulatedCluster.ControllerProcess n : w.controllers) {
+                            n.askAsync("abort", id, r -> n.users.cancel(id, r), null);
+                            n.askAsync("poll", id, r -> n.users.poll(id, r), null);
+                            n.resubmit(id);
                         }
                     });
                 }
             });
         }
-        w.run(14);
+        w.runFor(14);
         for (int i = 1; i <= 8; i++) {
             assertTrue(met[i]);
         }
-        end(w, 60);
+        assertSettles(w, 60);
     }
 
     /** Several aborts of jobs whose machines hang within their lease: they hold when the machines go on. */
@@ -674,34 +688,34 @@
     })
     void cancelledTasksOnMachinesThatHangWithinTheirLease(double forS, double beforeS, boolean ends, String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 200;
+        w.taskDurationS = 200;
         submit(w, 1, shape, 8);
         submit(w, 2, shape, 4);
-        assertTrue(allStarted(w, 12));
-        w.run(3);
+        assertTrue(runUntilStarted(w, 12));
+        w.runFor(3);
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.hangsUntil = w.now + forS;
+            k.hungUntilS = w.nowS + forS;
         }
-        w.run(beforeS);
-        assertEquals("withdrawn", w.nodes.get(0).abort(id(1)).get("status"));
+        w.runFor(beforeS);
+        assertEquals("withdrawn", w.controllers.get(0).cancel(jobId(1)).get("status"));
         if (ends) {
             w.leader().restartAfter(0.2);
         }
-        w.run(forS - beforeS + 0.1);
+        w.runFor(forS - beforeS + 0.1);
         // And once more as soon as they are back, each within its lease.
-        w.run(0.4);
+        w.runFor(0.4);
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.hangsUntil = w.now + forS;
+            k.hungUntilS = w.nowS + forS;
         }
         if (ends && w.leader() != null) {
             w.leader().restartAfter(0.2);
         }
-        w.run(SimulatedCluster.CANCEL_S + 1);
-        assertEquals(0, on(w, id(1)));
-        w.runS = 5;
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 1);
+        assertEquals(0, activeTaskCount(w, jobId(1)));
+        w.taskDurationS = 5;
         if (shape.equals("service")) {
-            w.nodes.get(0).abort(id(2));
+            w.controllers.get(0).cancel(jobId(2));
         }
-        end(w, 200);
+        assertSettles(w, 200);
     }
 }
--- a/src/test/java/org/mountlug/node/ConnectivityTest.java
+++ b/src/test/java/org/mountlug/node/ConnectivityTest.java
@@ -38,43 +38,43 @@
     })
     void aLeaderThatLacksSomebodyGivesWay(String reaches, int controllers, double leaseS) {
         SimulatedCluster world = new SimulatedCluster(controllers, List.of(new Team("t", 0, 0, 0, 0, 1)), leaseS);
-        world.runS = 100;
-        world.accept(id(1), 16, false);
-        assertTrue(world.until(60, () -> starts(world) == 16));
-        world.run(15);
-        SimulatedCluster.Node old = world.leader();
+        world.taskDurationS = 100;
+        world.submitUntilAccepted(id(1), 16, false);
+        assertTrue(world.runUntil(60, () -> starts(world) == 16));
+        world.runFor(15);
+        SimulatedCluster.ControllerProcess old = world.leader();
         switch (reaches) {
             case "state service only" -> old.cutFromWorkers = old.cutFromPeers = true;
-            case "state service, peers refuse" -> old.cutFromWorkers = world.peersRefuse = true;
+            case "state service, peers refuse" -> old.cutFromWorkers = world.peersRefuseConnections = true;
             case "state service and peers" -> old.cutFromWorkers = true;
             case "peers only" -> {
                 old.cutFromWorkers = true;
-                old.link = StateStandIn.Link.SILENT;
+                old.stateLink = FakeStateService.Link.PARTITIONED;
             }
             case "workers only" -> {
                 old.cutFromPeers = true;
-                old.link = StateStandIn.Link.SILENT;
+                old.stateLink = FakeStateService.Link.PARTITIONED;
             }
-            case "all but the state service" -> old.link = StateStandIn.Link.REFUSED;
+            case "all but the state service" -> old.stateLink = FakeStateService.Link.REFUSED;
             default -> {
                 old.cutFromPeers = old.cutFromWorkers = true;
-                old.link = StateStandIn.Link.SILENT;
+                old.stateLink = FakeStateService.Link.PARTITIONED;
             }
         }
-        world.in(60, () -> {
-            old.cutFromWorkers = old.cutFromPeers = world.peersRefuse = false;
-            old.link = StateStandIn.Link.GOOD;
+        world.schedule(60, () -> {
+            old.cutFromWorkers = old.cutFromPeers = world.peersRefuseConnections = false;
+            old.stateLink = FakeStateService.Link.HEALTHY;
         });
         Set<Long> tokens = new HashSet<>();
-        world.onLead.add(node -> tokens.add(node.token()));
-        assertTrue(world.until(15, () -> world.leader() != null && world.leader() != old), "another one leads");
-        world.run(80);
+        world.onTermStart.add(node -> tokens.add(node.token()));
+        assertTrue(world.runUntil(15, () -> world.leader() != null && world.leader() != old), "another one leads");
+        world.runFor(80);
         assertEquals(1, tokens.size(), "the lead moved once");
         if (leaseS > 20) {
             assertEquals(16, starts(world), "nothing was lost");
         }
-        world.settle(150);
-        assertEquals(List.of(), world.broken());
+        world.runUntilSettled(150);
+        assertEquals(List.of(), world.violations());
     }
 
     /**
@@ -85,18 +85,18 @@
     @CsvSource({"3, 0.1", "3, 0.9", "5, 0.4", "7, 0.1", "7, 0.6", "7, 1.2", "7, 1.7"})
     void aShortLeaseOutlivesALeaderWithoutItsWorkers(int controllers, double offsetS) {
         SimulatedCluster world = new SimulatedCluster(controllers, List.of(new Team("t", 0, 0, 0, 0, 1)), 10);
-        world.runS = 100;
-        world.accept(id(1), 48, false, Map.of("dueS", 110.0));
-        assertTrue(world.until(60, () -> starts(world) == 48));
-        world.run(15 + offsetS);
-        SimulatedCluster.Node old = world.leader();
+        world.taskDurationS = 100;
+        world.submitUntilAccepted(id(1), 48, false, Map.of("dueS", 110.0));
+        assertTrue(world.runUntil(60, () -> starts(world) == 48));
+        world.runFor(15 + offsetS);
+        SimulatedCluster.ControllerProcess old = world.leader();
         old.cutFromWorkers = true;
-        world.in(37, () -> old.cutFromWorkers = false);
-        world.run(40);
+        world.schedule(37, () -> old.cutFromWorkers = false);
+        world.runFor(40);
         assertTrue(world.leader() != old, "another one leads");
         assertEquals(48, starts(world), "nothing was lost");
-        world.settle(200);
-        assertEquals(List.of(), world.broken());
+        world.runUntilSettled(200);
+        assertEquals(List.of(), world.violations());
     }
 
     /** A filter between the controllers alone, or machines that nobody hears, are no reason to give way. */
@@ -104,49 +104,51 @@
     @CsvSource({"peers refuse", "machines cut off", "machines cut off and peers refuse"})
     void aLeaderThatNobodyCanReplaceGoesOn(String what) {
         SimulatedCluster world = new SimulatedCluster(3, List.of(new Team("t", 0, 0, 0, 0, 1)), 22);
-        world.runS = 60;
-        world.accept(id(1), 16, false);
-        assertTrue(world.until(60, () -> starts(world) == 16));
-        world.run(15);
+        world.taskDurationS = 60;
+        world.submitUntilAccepted(id(1), 16, false);
+        assertTrue(world.runUntil(60, () -> starts(world) == 16));
+        world.runFor(15);
         long token = world.leader().token();
-        world.peersRefuse = what.contains("peers refuse");
-        world.workers.values().forEach(worker -> worker.cut = what.startsWith("machines"));
-        world.run(18);
-        world.workers.values().forEach(worker -> worker.cut = false);
-        world.run(15);
-        world.peersRefuse = false;
+        world.peersRefuseConnections = what.contains("peers refuse");
+        world.workers.values().forEach(worker -> worker.disconnected = what.startsWith("machines"));
+        world.runFor(18);
+        world.workers.values().forEach(worker -> worker.disconnected = false);
+        world.runFor(15);
+        world.peersRefuseConnections = false;
         assertEquals(token, world.leader().token());
-        world.settle(150);
-        assertEquals(List.of(), world.broken());
+        world.runUntilSettled(150);
+        assertEquals(List.of(), world.violations());
     }
 
     /** Users are answered by whoever is asked, correctly or with 503 at once, while one controller lacks somebody. */
     @ParameterizedTest(name = "leader {0}, state service {1}")
-    @CsvSource({"true, REFUSED", "true, SILENT", "false, REFUSED", "false, SILENT"})
-    void usersAreAnsweredAtOnceMeanwhile(boolean leader, StateStandIn.Link link) {
+    @CsvSource({"true, REFUSED", "true, PARTITIONED", "false, REFUSED", "false, PARTITIONED"})
+    void usersAreAnsweredAtOnceMeanwhile(boolean leader, FakeStateService.Link link) {
         SimulatedCluster world = new SimulatedCluster(3);
-        world.accept(id(1), 4, false);
-        world.run(10);
-        SimulatedCluster.Node node = leader
+        world.submitUntilAccepted(id(1), 4, false);
+        world.runFor(10);
+        SimulatedCluster.ControllerProcess node = leader
                 ? world.leader()
-                : world.nodes.stream()
+                : world.controllers.stream()
                         .filter(n -> n != world.leader())
                         .findFirst()
                         .orElseThrow();
-        node.link = link;
+        node.stateLink = link;
         for (int i = 0; i < 5; i++) {
-            double asked = world.now;
+            double asked = world.nowS;
             Map<String, Object> answer = node.poll(id(1));
             assertTrue(answer != null && List.of(200, 503).contains(answer.get("code")), String.valueOf(answer));
-            assertTrue(world.now - asked < 2.0, "answered within the user's patience");
-            world.run(2);
+            assertTrue(world.nowS - asked < 2.0, "answered within the user's patience");
+            world.runFor(2);
         }
-        node.link = StateStandIn.Link.GOOD;
-        world.settle(120);
-        assertEquals(List.of(), world.broken());
+        node.stateLink = FakeStateService.Link.HEALTHY;
+        world.runUntilSettled(120);
+        assertEquals(List.of(), world.violations());
     }
 
     private static int starts(SimulatedCluster world) {
-        return world.workers.values().stream().mapToInt(worker -> worker.starts).sum();
+        return world.workers.values().stream()
+                .mapToInt(worker -> worker.startCount)
+                .sum();
     }
 }
