--- a/src/test/java/org/mountlug/node/FailingJobsTest.java
+++ b/src/test/java/org/mountlug/node/FailingJobsTest.java
@@ -31,36 +31,36 @@
     void failingJobsCondemnNoMachine(int failingJobs, boolean faultyMachine, boolean newLeader) {
         SimulatedCluster world = new SimulatedCluster(3);
         world.cloud.capacity = 8;
-        world.runS = 5;
-        world.accept(id(1), 1200, false);
-        assertTrue(world.until(60, () -> world.workers.size() == 8));
-        world.run(8);
+        world.taskDurationS = 5;
+        world.submitUntilAccepted(id(1), 1200, false);
+        assertTrue(world.runUntil(60, () -> world.workers.size() == 8));
+        world.runFor(8);
         SimulatedCluster.Worker bad = world.workers.values().iterator().next();
         List<String> good = world.workers.keySet().stream()
                 .filter(name -> !name.equals(bad.name))
                 .toList();
-        bad.sick = faultyMachine;
+        bad.failsAllTasks = faultyMachine;
         for (int i = 0; i < failingJobs; i++) {
-            world.faulty.add(id(2 + i));
-            world.accept(id(2 + i), 24, false, Map.of("urgency", "prod"));
+            world.failingJobs.add(id(2 + i));
+            world.submitUntilAccepted(id(2 + i), 24, false, Map.of("urgency", "prod"));
         }
-        world.run(40);
+        world.runFor(40);
         if (newLeader) {
             world.leader().restartAfter(0.3);
         }
-        world.run(60);
+        world.runFor(60);
         assertTrue(world.workers.keySet().containsAll(good), "machines that fail nothing else are kept");
         assertEquals(!faultyMachine, world.workers.containsKey(bad.name), "the faulty one is found");
         // A first start of every task, some on machines that were not free at first, then one at a time.
         for (int i = 0; i < failingJobs; i++) {
-            int starts = world.startsOf.get(id(2 + i));
+            int starts = world.startsByJob.get(id(2 + i));
             assertTrue(starts <= 24 + 20, "starts of a failing job: " + starts);
         }
         for (int i = 0; i < failingJobs; i++) {
-            assertEquals("withdrawn", world.leader().abort(id(2 + i)).get("status"));
+            assertEquals("withdrawn", world.leader().cancel(id(2 + i)).get("status"));
         }
-        world.settle(400);
-        assertEquals(List.of(), world.broken());
+        world.runUntilSettled(400);
+        assertEquals(List.of(), world.violations());
     }
 
     /** A failing gang neither stops others' work nor holds machines for itself, but it is still tried. */
@@ -69,17 +69,17 @@
     void aFailingJobIsTriedNowAndThen(int tasks) {
         SimulatedCluster world = new SimulatedCluster(3);
         world.cloud.capacity = 6;
-        world.faulty.add(id(1));
-        world.accept(id(1), tasks, tasks > 1, Map.of("vcpus", 4.0));
-        world.run(200);
-        int before = world.startsOf.get(id(1));
-        world.run(200);
-        int starts = world.startsOf.get(id(1)) - before;
+        world.failingJobs.add(id(1));
+        world.submitUntilAccepted(id(1), tasks, tasks > 1, Map.of("vcpus", 4.0));
+        world.runFor(200);
+        int before = world.startsByJob.get(id(1));
+        world.runFor(200);
+        int starts = world.startsByJob.get(id(1)) - before;
         assertTrue(starts >= tasks * 2 && starts <= tasks * 6, starts + " starts in 200 s");
-        assertEquals("withdrawn", world.leader().abort(id(1)).get("status"));
-        world.accept(id(2), 12, false);
-        world.settle(100);
-        assertEquals(List.of(), world.broken());
+        assertEquals("withdrawn", world.leader().cancel(id(1)).get("status"));
+        world.submitUntilAccepted(id(2), 12, false);
+        world.runUntilSettled(100);
+        assertEquals(List.of(), world.violations());
     }
 
     /** Faulty machines make no good job a failing one: once it works anywhere, all of it goes on. */
@@ -88,17 +88,18 @@
     void aGoodJobOutlivesFaultyMachines(int faulty, boolean gang) {
         SimulatedCluster world = new SimulatedCluster(3);
         world.cloud.capacity = 8;
-        world.runS = 5;
-        world.accept(id(1), 120, false, Map.of("dueS", 20.0));
-        assertTrue(world.until(60, () -> world.status(id(1), 5).equals("done")));
+        world.taskDurationS = 5;
+        world.submitUntilAccepted(id(1), 120, false, Map.of("dueS", 20.0));
+        assertTrue(world.runUntil(60, () -> world.pollStatus(id(1), 5).equals("done")));
         List<SimulatedCluster.Worker> machines = List.copyOf(world.workers.values());
-        machines.subList(0, Math.min(faulty, machines.size())).forEach(machine -> machine.sick = true);
-        world.accept(id(2), gang ? 4 : 60, gang);
-        world.accept(id(3), gang ? 4 : 60, gang);
-        world.settle(150);
-        assertEquals(List.of(), world.broken());
+        machines.subList(0, Math.min(faulty, machines.size())).forEach(machine -> machine.failsAllTasks = true);
+        world.submitUntilAccepted(id(2), gang ? 4 : 60, gang);
+        world.submitUntilAccepted(id(3), gang ? 4 : 60, gang);
+        world.runUntilSettled(150);
+        assertEquals(List.of(), world.violations());
         // A gang may have gone round them, and what ran nothing was not found out.
         assertTrue(
-                gang || machines.subList(0, faulty).stream().allMatch(machine -> machine.gone), "faulty machines go");
+                gang || machines.subList(0, faulty).stream().allMatch(machine -> machine.terminated),
+                "faulty machines go");
     }
 }
--- a/src/test/java/org/mountlug/node/CloudStandIn.java
+++ b/src/test/java/org/mountlug/node/FakeCloud.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.PooledHttpClient;
 
 /** The cloud of a simulated cluster: one machine type, rentals by name, returns, and a list in pages that may lag. */
-final class CloudStandIn {
+final class FakeCloud {
     private static final double ANSWER_S = 0.1;
     /** Seconds after its end at which the list shows a machine as failed. */
     private static final double FAILED_AFTER_S = 30;
@@ -29,22 +29,27 @@
     /** Zones in which machines are rented. */
     List<Object> zones = List.of("a");
     /** Zones in which every rental is refused for now. */
-    final Set<String> refusing = new HashSet<>();
+    final Set<String> zonesRefusingRentals = new HashSet<>();
     /** Whether the whole interface is down. */
     boolean down;
     /** Seconds by which the list lags behind rentals. */
     double listLagS;
 
-    CloudStandIn(SimulatedCluster cluster) {
+    FakeCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
     private record Reply(int status, Map<String, Object> body) {}
 
-    void call(HttpString method, String path, Map<String, Object> body, int timeoutMs, Consumer<Http.Answer> then) {
-        cluster.in(ANSWER_S, () -> {
+    void call(
+            HttpString method,
+            String path,
+            Map<String, Object> body,
+            int timeoutMs,
+            Consumer<PooledHttpClient.Response> then) {
+        cluster.schedule(ANSWER_S, () -> {
             Reply reply = reply(path, body);
-            then.accept(new Http.Answer(reply.status, reply.body, true));
+            then.accept(new PooledHttpClient.Response(reply.status, reply.body, true));
         });
     }
 
@@ -54,14 +59,14 @@
         }
         switch (path) {
             case "/flavors":
-                Map<String, Object> type = new LinkedHashMap<>(SimulatedCluster.TYPE);
+                Map<String, Object> type = new LinkedHashMap<>(SimulatedCluster.MACHINE_TYPE);
                 type.put("sites", zones);
                 return new Reply(200, Map.of("builds", List.of(type)));
             case "/hosts/release":
                 release(body);
                 return new Reply(200, Map.of());
             case "/hosts":
-                List<Object> names = hires.computeIfAbsent(Fields.str(body, "hire"), hire -> rent(body));
+                List<Object> names = hires.computeIfAbsent(Fields.getString(body, "hire"), hire -> rent(body));
                 return names.isEmpty()
                         ? new Reply(503, Map.of("error", "no capacity"))
                         : new Reply(200, Map.of("rigs", names));
@@ -71,18 +76,18 @@
     }
 
     private void release(Map<String, Object> body) {
-        for (Object name : Fields.list(body, "rigs")) {
+        for (Object name : Fields.getList(body, "rigs")) {
             SimulatedCluster.Worker worker = cluster.workers.remove((String) name);
             if (worker != null) {
-                worker.end();
+                worker.terminate();
             }
         }
     }
 
     private List<Object> rent(Map<String, Object> body) {
-        String zone = Fields.str(body, "site", "a");
+        String zone = Fields.getString(body, "site", "a");
         List<Object> names = new ArrayList<>();
-        if (refusing.contains(zone)) {
+        if (zonesRefusingRentals.contains(zone)) {
             return names;
         }
         long inZone = cluster.workers.values().stream()
@@ -90,8 +95,8 @@
                 .count();
         long room = Math.min(
                 capacity - cluster.workers.size(), zoneCapacity.getOrDefault(zone, Integer.MAX_VALUE) - inZone);
-        for (long left = Math.min(room, Fields.num(body, "howMany", 1)); left > 0; left--) {
-            names.add(cluster.worker(zone).name);
+        for (long left = Math.min(room, Fields.getLong(body, "howMany", 1)); left > 0; left--) {
+            names.add(cluster.addMachine(zone).name);
         }
         return names;
     }
@@ -100,7 +105,7 @@
         String after = path.contains("after=") ? path.replaceAll(".*after=([^&]*).*", "$1") : "";
         List<Object> shown = new ArrayList<>();
         for (SimulatedCluster.Worker worker : cluster.workers.values()) {
-            if (cluster.now - worker.bornS < listLagS || worker.name.compareTo(after) <= 0) {
+            if (cluster.nowS - worker.rentedAtS < listLagS || worker.name.compareTo(after) <= 0) {
                 continue;
             }
             if (shown.size() == PAGE) {
@@ -112,13 +117,13 @@
     }
 
     private Map<String, Object> listed(SimulatedCluster.Worker worker) {
-        double ageS = cluster.now - worker.bornS;
-        boolean up = worker.boots && ageS >= worker.bootsInS;
+        double ageS = cluster.nowS - worker.rentedAtS;
+        boolean up = worker.willBoot && ageS >= worker.bootDurationS;
         String status = up ? "running" : "booting";
-        if (cluster.now - worker.diedAt > FAILED_AFTER_S) {
+        if (cluster.nowS - worker.crashedAtS > FAILED_AFTER_S) {
             status = "failed";
         }
-        return Fields.ordered(
+        return Fields.orderedMap(
                 "nameId",
                 worker.name,
                 "address",
--- a/src/test/java/org/mountlug/node/StateStandIn.java
+++ b/src/test/java/org/mountlug/node/FakeStateService.java
@@ -6,50 +6,50 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.mountlug.wire.Calls;
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.HttpTransport;
 import org.mountlug.wire.Json;
+import org.mountlug.wire.PooledHttpClient;
 
 /** The state service in memory, by its protocol: versions, leases, watches, limits, outages. */
-final class StateStandIn {
+final class FakeStateService {
     /** How one node reaches it. */
     enum Link {
-        GOOD,
+        HEALTHY,
         REFUSED,
-        SILENT,
+        PARTITIONED,
         /** Transactions are carried out at once, but their answers are lost. */
-        UNHEARD,
-        /** Transactions get no answer and are carried out {@link #lateS} later. */
-        LATE
+        RESPONSES_LOST,
+        /** Transactions get no answer and are carried out {@link #writeDelayS} later. */
+        WRITES_DELAYED
     }
 
-    /** Seconds by which transactions over a {@link Link#LATE} link are carried out late, and how many were and succeeded. */
-    double lateS = 3;
+    /** Seconds by which transactions over a {@link Link#WRITES_DELAYED} link are carried out late, and how many were and succeeded. */
+    double writeDelayS = 3;
     /** Requests and changes a second that it takes, with a burst of one second's worth; none where not set. */
     double rps = Double.POSITIVE_INFINITY;
 
     double writeRps = Double.POSITIVE_INFINITY;
     /** Whether what is refused counts towards the limits all the same; the protocol leaves that open. */
-    boolean refusalsCount = true;
+    boolean refusalsConsumeLimit = true;
     /** How many requests were refused by these limits. */
-    int limited;
+    int rateLimitedRequests;
 
     private double requestsLeft = Double.NaN;
     private double writesLeft;
     private double countedS;
     /** Seconds by which every answer takes longer. */
-    double slowS;
+    double extraLatencyS;
     /** Sees each transaction just before it leaves its node. */
-    java.util.function.BiConsumer<SimulatedCluster.Node, Map<String, Object>> onMulti;
+    java.util.function.BiConsumer<SimulatedCluster.ControllerProcess, Map<String, Object>> onTransaction;
 
     /** Requests of this path are refused, while all others are served. */
     String refusedPath;
 
-    int lateCarriedOut;
-    int lateSucceeded;
-    int unheard;
+    int delayedWritesApplied;
+    int delayedWritesSucceeded;
+    int writesWithLostResponse;
 
     private record Row(Object value, long stamp, long hold) {}
 
@@ -63,20 +63,20 @@
 
     private int valueNow;
     /** How many changes were refused for their size. */
-    int refused;
+    int oversizedWritesRefused;
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private final List<Entry> log = new ArrayList<>();
     private final Map<Long, double[]> holds = new TreeMap<>();
     /** Held-back transactions of a cut node, to be carried out late. */
-    final List<Runnable> heldBack = new ArrayList<>();
+    final List<Runnable> heldTransactions = new ArrayList<>();
 
     private long epoch = 1;
     private long nextHold = 7;
     boolean outage;
-    int largestValue;
+    int largestValueBytes;
 
-    StateStandIn(SimulatedCluster world, int opsMost, int valueKb) {
+    FakeStateService(SimulatedCluster world, int opsMost, int valueKb) {
         this.world = world;
         this.opsMost = opsMost;
         this.valueMost = valueKb * 1024;
@@ -84,38 +84,38 @@
         this.valueNow = valueMost;
     }
 
-    Calls calls(SimulatedCluster.Node from, java.util.function.Supplier<Link> link) {
+    HttpTransport connectionFrom(SimulatedCluster.ControllerProcess from, java.util.function.Supplier<Link> link) {
         return (method, path, body, timeoutMs, then) -> {
             // Through bytes and back, so that a value cannot be shared by mistake.
             Map<String, Object> copy = body == null ? Map.of() : copy(body);
-            if (path.equals("/multi") && onMulti != null) {
-                onMulti.accept(from, copy);
+            if (path.equals("/multi") && onTransaction != null) {
+                onTransaction.accept(from, copy);
             }
             Link l = link.get();
-            if (l == Link.SILENT) {
+            if (l == Link.PARTITIONED) {
                 if (path.equals("/multi")) {
-                    heldBack.add(() -> multi(copy));
+                    heldTransactions.add(() -> multi(copy));
                 }
-                world.in(timeoutMs / 1000.0, () -> then.accept(new Http.Answer(0, Map.of(), true)));
-            } else if (path.equals("/multi") && l == Link.LATE && !outage) {
-                world.in(lateS, () -> {
-                    lateCarriedOut++;
+                world.schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
+            } else if (path.equals("/multi") && l == Link.WRITES_DELAYED && !outage) {
+                world.schedule(writeDelayS, () -> {
+                    delayedWritesApplied++;
                     if ((int) multi(copy)[0] == 200) {
-                        lateSucceeded++;
+                        delayedWritesSucceeded++;
                     }
                 });
-                world.in(timeoutMs / 1000.0, () -> then.accept(new Http.Answer(0, Map.of(), true)));
-            } else if (path.equals("/multi") && l == Link.UNHEARD && !outage) {
-                world.in(0.002, () -> {
+                world.schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
+            } else if (path.equals("/multi") && l == Link.RESPONSES_LOST && !outage) {
+                world.schedule(0.002, () -> {
                     if ((int) multi(copy)[0] == 200) {
-                        unheard++;
+                        writesWithLostResponse++;
                     }
                 });
-                world.in(timeoutMs / 1000.0, () -> then.accept(new Http.Answer(0, Map.of(), true)));
+                world.schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
             } else {
-                world.in(0.002, () -> {
+                world.schedule(0.002, () -> {
                     if (path.startsWith("/watch")) {
-                        watch(path, world.now + timeoutMs / 1000.0, link, then);
+                        watch(path, world.nowS + timeoutMs / 1000.0, link, then);
                     } else if (l == Link.REFUSED || outage || path.equals(refusedPath)) {
                         answer(then, 503, Map.of());
                     } else if (overLimit(copy)) {
@@ -141,27 +141,29 @@
         if (Double.isInfinite(rps)) {
             return false;
         }
-        double gone = Double.isNaN(requestsLeft) ? 1 : world.now - countedS;
-        countedS = world.now;
-        int changes = Fields.list(body, "writes").size();
+        double gone = Double.isNaN(requestsLeft) ? 1 : world.nowS - countedS;
+        countedS = world.nowS;
+        int changes = Fields.getList(body, "writes").size();
         requestsLeft = Math.min(rps, (Double.isNaN(requestsLeft) ? 0 : requestsLeft) + gone * rps) - 1;
         writesLeft = Math.min(writeRps, writesLeft + gone * writeRps) - changes;
         if (requestsLeft >= 0 && writesLeft >= 0) {
             return false;
         }
-        if (!refusalsCount) {
+        if (!refusalsConsumeLimit) {
             requestsLeft++;
             writesLeft += changes;
         }
-        limited++;
+        rateLimitedRequests++;
         return true;
     }
 
-    private void answer(Consumer<Http.Answer> then, int status, Map<String, Object> body) {
-        world.in(0.002 + slowS, () -> then.accept(new Http.Answer(status, copy(body), true)));
+    private void answer(Consumer<PooledHttpClient.Response> then, int status, Map<String, Object> body) {
+        world.schedule(
+                0.002 + extraLatencyS, () -> then.accept(new PooledHttpClient.Response(status, copy(body), true)));
     }
 
-    private void serve(HttpString method, String path, Map<String, Object> body, Consumer<Http.Answer> then) {
+    private void serve(
+            HttpString method, String path, Map<String, Object> body, Consumer<PooledHttpClient.Response> then) {
         expire();
         String m = method.toString();
         if (path.startsWith("/kv?")) {
@@ -196,10 +198,10 @@
             }
         } else if (path.equals("/multi")) {
             Object[] a = multi(body);
-            answer(then, (int) a[0], Fields.map(a[1]));
+            answer(then, (int) a[0], Fields.asMap(a[1]));
         } else if (path.equals("/holds")) {
-            double life = Fields.num(body, "lifeMs", 0) / 1000.0;
-            holds.put(nextHold, new double[] {life, world.now + life});
+            double life = Fields.getLong(body, "lifeMs", 0) / 1000.0;
+            holds.put(nextHold, new double[] {life, world.nowS + life});
             answer(then, 200, Map.of("hold", nextHold++));
         } else {
             long id = Long.parseLong(path.split("/")[2]);
@@ -207,7 +209,7 @@
             if (h == null) {
                 answer(then, 404, Map.of());
             } else {
-                h[1] = m.equals("DELETE") ? 0 : world.now + h[0];
+                h[1] = m.equals("DELETE") ? 0 : world.nowS + h[0];
                 expire();
                 answer(then, 200, Map.of());
             }
@@ -226,37 +228,37 @@
     private Object[] multi(Map<String, Object> body) {
         expire();
         List<Object> failed = new ArrayList<>();
-        for (Object o : Fields.list(body, "guards")) {
-            Map<String, Object> g = Fields.map(o);
-            Row r = rows.get(Fields.str(g, "k"));
-            if ((r == null ? 0 : r.stamp()) != Fields.num(g, "stamp", -1)) {
+        for (Object o : Fields.getList(body, "guards")) {
+            Map<String, Object> g = Fields.asMap(o);
+            Row r = rows.get(Fields.getString(g, "k"));
+            if ((r == null ? 0 : r.stamp()) != Fields.getLong(g, "stamp", -1)) {
                 failed.add(g.get("k"));
             }
         }
-        List<Object> writes = Fields.list(body, "writes");
+        List<Object> writes = Fields.getList(body, "writes");
         boolean small = true;
         if (writes.size() > opsMost) {
-            world.broken("transaction of " + writes.size() + " changes");
+            world.recordViolation("transaction of " + writes.size() + " changes");
         }
         if (Json.length(body) > 64 * 1024) {
-            world.broken("transaction over 64 KiB");
+            world.recordViolation("transaction over 64 KiB");
         }
         for (Object o : writes) {
-            Map<String, Object> w = Fields.map(o);
+            Map<String, Object> w = Fields.asMap(o);
             int size = w.containsKey("put") ? Json.length(w.get("v")) : 0;
-            largestValue = Math.max(largestValue, size);
+            largestValueBytes = Math.max(largestValueBytes, size);
             if (size > valueNow) {
                 small = false;
             }
             if (size > valueMost) {
-                world.broken("value of " + w.get("put") + " has " + size + " bytes");
+                world.recordViolation("value of " + w.get("put") + " has " + size + " bytes");
             }
             if (w.get("hold") instanceof Number h && !holds.containsKey(h.longValue())) {
                 return new Object[] {400, Map.of("error", "no such lease")};
             }
         }
         if (!small || writes.size() > opsNow) {
-            refused++;
+            oversizedWritesRefused++;
             return new Object[] {400, Map.of("error", "too large")};
         }
         if (!failed.isEmpty()) {
@@ -264,12 +266,12 @@
         }
         epoch++;
         for (Object o : writes) {
-            Map<String, Object> w = Fields.map(o);
-            String put = Fields.str(w, "put");
+            Map<String, Object> w = Fields.asMap(o);
+            String put = Fields.getString(w, "put");
             if (put != null) {
-                put(put, new Row(w.get("v"), epoch, Fields.num(w, "hold", 0)));
+                put(put, new Row(w.get("v"), epoch, Fields.getLong(w, "hold", 0)));
             } else {
-                delete(Fields.str(w, "delete"));
+                delete(Fields.getString(w, "delete"));
             }
         }
         return new Object[] {200, Map.of("epoch", epoch)};
@@ -290,7 +292,7 @@
     void recover() {
         outage = false;
         for (double[] h : holds.values()) {
-            h[1] = world.now + h[0];
+            h[1] = world.nowS + h[0];
         }
     }
 
@@ -299,7 +301,7 @@
             return;
         }
         for (long id : List.copyOf(holds.keySet())) {
-            if (holds.get(id)[1] > world.now) {
+            if (holds.get(id)[1] > world.nowS) {
                 continue;
             }
             holds.remove(id);
@@ -313,17 +315,20 @@
     }
 
     private void watch(
-            String path, double giveUpS, java.util.function.Supplier<Link> link, Consumer<Http.Answer> then) {
+            String path,
+            double giveUpS,
+            java.util.function.Supplier<Link> link,
+            Consumer<PooledHttpClient.Response> then) {
         String prefix = arg(path, "prefix");
         long after = Long.parseLong(arg(path, "after"));
-        double until = world.now + Long.parseLong(arg(path, "blockMs")) / 1000.0;
+        double until = world.nowS + Long.parseLong(arg(path, "blockMs")) / 1000.0;
         Runnable[] look = new Runnable[1];
         look[0] = () -> {
-            if (world.now >= giveUpS) {
-                then.accept(new Http.Answer(0, Map.of(), true));
+            if (world.nowS >= giveUpS) {
+                then.accept(new PooledHttpClient.Response(0, Map.of(), true));
                 return;
             }
-            if (link.get() != Link.REFUSED && link.get() != Link.SILENT && !outage) {
+            if (link.get() != Link.REFUSED && link.get() != Link.PARTITIONED && !outage) {
                 expire();
                 List<Object> news = new ArrayList<>();
                 for (int i = log.size() - 1; i >= 0 && log.get(i).stamp() > after; i--) {
@@ -332,22 +337,22 @@
                         news.add(0, n);
                     }
                 }
-                if (!news.isEmpty() || world.now >= until) {
+                if (!news.isEmpty() || world.nowS >= until) {
                     answer(then, 200, Map.of("epoch", epoch, "news", news));
                     return;
                 }
             }
-            world.in(0.05, look[0]);
+            world.schedule(0.05, look[0]);
         };
         look[0].run();
     }
 
     /** A transaction is carried out once more. */
-    int again(Map<String, Object> body) {
+    int replayTransaction(Map<String, Object> body) {
         return (int) multi(copy(body))[0];
     }
 
-    void lower(double valueKb, int ops) {
+    void setSizeLimits(double valueKb, int ops) {
         valueNow = (int) (valueKb * 1024);
         opsNow = ops;
     }
@@ -363,7 +368,7 @@
     }
 
     /** Writes past all rules, as something foreign to us would. */
-    void scribble(String key, Map<String, Object> value) {
+    void writeUnchecked(String key, Map<String, Object> value) {
         epoch++;
         put(key, new Row(value, epoch, 0));
     }
--- a/src/test/java/org/mountlug/node/InjectedFault.java
+++ b/src/test/java/org/mountlug/node/InjectedFault.java
@@ -11,117 +11,119 @@
 /** The faults that meet in {@link SeededFaultsTest}; each begins at once and ends by itself. */
 enum InjectedFault {
     /** The leader's process ends and comes back. */
-    LEADER_ENDS(scene -> scene.leader().restartAfter(scene.backS())),
+    LEADER_RESTARTS(scene -> scene.leader().restartAfter(scene.backS())),
     /** All controllers end and come back. */
-    ALL_END(scene -> {
+    ALL_CONTROLLERS_RESTART(scene -> {
         SplittableRandom random = scene.random();
         double laterS = scene.backS() + Math.min(scene.forS(), 20);
-        for (SimulatedCluster.Node node : scene.world().nodes) {
+        for (SimulatedCluster.ControllerProcess node : scene.world().controllers) {
             node.restartAfter(random.nextBoolean() ? 0.2 + random.nextDouble() : laterS);
         }
     }),
     /** The state service refuses the leader alone. */
-    LEADER_REFUSED(scene -> link(scene, scene.leader(), StateStandIn.Link.REFUSED, scene.forS())),
+    STATE_SERVICE_REFUSES_LEADER(scene -> link(scene, scene.leader(), FakeStateService.Link.REFUSED, scene.forS())),
     /** The state service is out. */
-    OUTAGE(scene -> {
-        scene.world().state.outage = true;
-        scene.atEnd(scene.world().state::recover);
+    STATE_SERVICE_OUTAGE(scene -> {
+        scene.world().stateService.outage = true;
+        scene.atEnd(scene.world().stateService::recover);
     }),
     /** The leader loses the state service and its peers; what it sent is carried out late. */
-    LEADER_SILENT(scene -> {
-        StateStandIn state = scene.world().state;
-        link(scene, scene.leader(), StateStandIn.Link.SILENT, scene.forS());
+    LEADER_PARTITIONED(scene -> {
+        FakeStateService state = scene.world().stateService;
+        link(scene, scene.leader(), FakeStateService.Link.PARTITIONED, scene.forS());
         scene.leader().cutFromPeers = true;
         scene.atEnd(() -> {
             scene.leader().cutFromPeers = false;
-            carryOut(state.heldBack);
+            carryOut(state.heldTransactions);
         });
     }),
     /** Transactions are carried out, their answers lost. */
-    UNHEARD(scene -> linkAll(scene, StateStandIn.Link.UNHEARD)),
+    WRITE_RESPONSES_LOST(scene -> linkAll(scene, FakeStateService.Link.RESPONSES_LOST)),
     /** Transactions are carried out late, without an answer. */
-    LATE(scene -> {
-        scene.world().state.lateS = 2 + scene.random().nextDouble() * 10;
-        linkAll(scene, StateStandIn.Link.LATE);
+    WRITES_DELAYED(scene -> {
+        scene.world().stateService.writeDelayS = 2 + scene.random().nextDouble() * 10;
+        linkAll(scene, FakeStateService.Link.WRITES_DELAYED);
     }),
     /** Machines lose the network. */
-    CUT(scene -> scene.forSome(worker -> worker.cut = true, worker -> worker.cut = false)),
+    MACHINES_DISCONNECTED(
+            scene -> scene.forSome(worker -> worker.disconnected = true, worker -> worker.disconnected = false)),
     /** Machines hang and go on. */
-    HANG(scene -> hang(scene.some(), scene.world().now + Math.min(scene.forS(), 25))),
+    MACHINES_HANG(scene -> hang(scene.some(), scene.world().nowS + Math.min(scene.forS(), 25))),
     /** No report of these machines leaves; direct commands reach them. */
-    MUTE(scene -> scene.forSome(worker -> worker.mute = true, worker -> worker.mute = false)),
+    MACHINE_REPORTS_BLOCKED(
+            scene -> scene.forSome(worker -> worker.reportsBlocked = true, worker -> worker.reportsBlocked = false)),
     /** These machines hear nothing; commands to them arrive late. */
-    DEAF(scene -> {
-        scene.forSome(worker -> worker.deaf = true, worker -> worker.deaf = false);
+    MACHINE_INBOUND_BLOCKED(scene -> {
+        scene.forSome(worker -> worker.inboundBlocked = true, worker -> worker.inboundBlocked = false);
         scene.atEnd(() -> carryOut(scene.world().heldCommands));
     }),
     /** Machines stop for good. */
-    DIE(scene -> scene.some().subList(0, scene.some().size() / 3).forEach(SimulatedCluster.Worker::die)),
+    MACHINES_CRASH(scene -> scene.some().subList(0, scene.some().size() / 3).forEach(SimulatedCluster.Worker::crash)),
     /** Direct commands are held up. */
-    COMMANDS_LATE(scene -> {
-        scene.world().commandLateS = 0.5 + scene.random().nextDouble() * 8;
-        scene.atEnd(() -> scene.world().commandLateS = 0);
+    COMMANDS_DELAYED(scene -> {
+        scene.world().commandDelayS = 0.5 + scene.random().nextDouble() * 8;
+        scene.atEnd(() -> scene.world().commandDelayS = 0);
     }),
     /** Old reports arrive again. */
-    OLD_REPORTS(scene -> {
+    REPORTS_REPLAYED(scene -> {
         Runnable come = oldReports(scene);
-        scene.world().in(2 + scene.random().nextDouble() * scene.forS(), come);
+        scene.world().schedule(2 + scene.random().nextDouble() * scene.forS(), come);
     }),
     /** Old reports arrive at the next leader. */
-    OLD_REPORTS_FOR_NEXT(scene -> {
+    REPORTS_REPLAYED_TO_NEXT_LEADER(scene -> {
         SimulatedCluster world = scene.world();
         Runnable come = oldReports(scene);
-        world.onLead.add(node -> world.in(scene.random().nextInt(3) * 0.4, come));
+        world.onTermStart.add(node -> world.schedule(scene.random().nextInt(3) * 0.4, come));
     }),
     /** A zone with a controller is cut off. */
-    ZONE_CUT(scene -> {
+    ZONE_ISOLATED(scene -> {
         SimulatedCluster world = scene.world();
-        scene.any().inside = true;
+        scene.any().inIsolatedZone = true;
         for (SimulatedCluster.Worker worker : world.workers.values()) {
             boolean struck = world.cloud.zones.size() > 1 || worker.name.hashCode() % 2 == 0;
-            worker.inside = worker.zone.equals("a") && struck;
+            worker.inIsolatedZone = worker.zone.equals("a") && struck;
         }
         scene.atEnd(() -> {
-            scene.any().inside = false;
-            world.workers.values().forEach(worker -> worker.inside = false);
+            scene.any().inIsolatedZone = false;
+            world.workers.values().forEach(worker -> worker.inIsolatedZone = false);
         });
     }),
     /** Connections between controllers are refused. */
-    PEERS_REFUSE(scene -> {
-        scene.world().peersRefuse = true;
-        scene.atEnd(() -> scene.world().peersRefuse = false);
+    PEERS_REFUSE_CONNECTIONS(scene -> {
+        scene.world().peersRefuseConnections = true;
+        scene.atEnd(() -> scene.world().peersRefuseConnections = false);
     }),
     /** The leader stands still for some seconds. */
-    FREEZE(scene -> scene.leader().freeze(Math.min(scene.forS(), 28))),
+    LEADER_PAUSED_BRIEFLY(scene -> scene.leader().pause(Math.min(scene.forS(), 28))),
     /** Users cancel many jobs at once, and machines hang. */
-    CANCEL(scene -> {
+    MASS_CANCELLATION(scene -> {
         SimulatedCluster world = scene.world();
         SplittableRandom random = scene.random();
-        for (String id : world.accepted()) {
+        for (String id : world.acceptedJobs()) {
             if (world.outcome(id) == null && random.nextBoolean()) {
-                cancel(world, id, random.nextDouble() * 0.2, random.nextInt(5));
+                scheduleCancellation(world, id, random.nextDouble() * 0.2, random.nextInt(5));
             }
         }
         List<SimulatedCluster.Worker> hung = new ArrayList<>(scene.some());
         hung.removeIf(worker -> !random.nextBoolean());
-        hang(hung, world.now + Math.min(scene.forS(), world.leaseS - 0.5));
+        hang(hung, world.nowS + Math.min(scene.forS(), world.workerLeaseS - 0.5));
     }),
     /** Users ask and repeat at all controllers. */
-    CLOSE_LOOKS(scene -> {
+    FREQUENT_POLLS(scene -> {
         SimulatedCluster world = scene.world();
         SplittableRandom random = scene.random();
         for (double t = 0; t < Math.min(scene.forS(), 8); t += 0.09) {
-            SimulatedCluster.Node node = world.nodes.get(random.nextInt(world.nodes.size()));
-            String id = FaultScenario.id(random.nextInt(26) + 1);
+            SimulatedCluster.ControllerProcess node = world.controllers.get(random.nextInt(world.controllers.size()));
+            String id = FaultTestSteps.jobId(random.nextInt(26) + 1);
             boolean repeat = random.nextInt(4) == 0;
-            world.in(t, () -> askOrRepeat(world, node, id, repeat));
+            world.schedule(t, () -> askOrRepeat(world, node, id, repeat));
         }
     }),
     /** The lead changes three times. */
-    HAND_BACK(scene -> {
+    REPEATED_LEADER_CHANGES(scene -> {
         SimulatedCluster world = scene.world();
         for (int i = 0; i < 3; i++) {
-            world.in(i * 5.5 + scene.random().nextDouble(), () -> {
+            world.schedule(i * 5.5 + scene.random().nextDouble(), () -> {
                 if (world.leader() != null) {
                     world.leader().restartAfter(0.3);
                 }
@@ -134,33 +136,33 @@
         scene.atEnd(() -> scene.world().cloud.down = false);
     }),
     /** The state service answers slowly. */
-    SLOW_STATE(scene -> {
-        scene.world().state.slowS = 0.1 + scene.random().nextDouble() * 0.5;
-        scene.atEnd(() -> scene.world().state.slowS = 0);
+    STATE_SERVICE_SLOW(scene -> {
+        scene.world().stateService.extraLatencyS = 0.1 + scene.random().nextDouble() * 0.5;
+        scene.atEnd(() -> scene.world().stateService.extraLatencyS = 0);
     }),
     /** The leader loses its workers. */
-    LEADER_WITHOUT_WORKERS(scene -> {
+    LEADER_CUT_FROM_WORKERS(scene -> {
         scene.leader().cutFromWorkers = true;
         scene.atEnd(() -> scene.leader().cutFromWorkers = false);
     }),
     /** The leader stands still for more than a minute. */
-    LEADER_PAUSED(scene -> scene.leader().freeze(overAMinute(scene.forS())), InjectedFault::overAMinute),
+    LEADER_PAUSED_OVER_A_MINUTE(scene -> scene.leader().pause(overAMinute(scene.forS())), InjectedFault::overAMinute),
     /** Some controller stands still for more than a minute, users' requests waiting in its sockets. */
-    CONTROLLER_PAUSED(
+    CONTROLLER_PAUSED_OVER_A_MINUTE(
             scene -> {
-                SimulatedCluster.Node any = scene.any();
-                any.freeze(overAMinute(scene.forS()));
-                for (String id : scene.world().accepted()) {
-                    any.askThroughSocket("poll", id, reply -> any.users.poll(id, reply), null);
+                SimulatedCluster.ControllerProcess any = scene.any();
+                any.pause(overAMinute(scene.forS()));
+                for (String id : scene.world().acceptedJobs()) {
+                    any.askAsyncThroughSocket("poll", id, reply -> any.users.poll(id, reply), null);
                     if (scene.random().nextInt(4) == 0) {
-                        any.askThroughSocket("abort", id, reply -> any.users.abort(id, reply), null);
+                        any.askAsyncThroughSocket("abort", id, reply -> any.users.cancel(id, reply), null);
                     }
                 }
             },
             InjectedFault::overAMinute),
     /** The leader reaches the state service and nobody else. */
-    ONLY_STATE(scene -> {
-        SimulatedCluster.Node leader = scene.leader();
+    LEADER_REACHES_ONLY_STATE_SERVICE(scene -> {
+        SimulatedCluster.ControllerProcess leader = scene.leader();
         leader.cutFromWorkers = true;
         leader.cutFromPeers = true;
         scene.atEnd(() -> {
@@ -169,103 +171,104 @@
         });
     }),
     /** The leader reaches its peers and nobody else. */
-    ONLY_PEERS(scene -> {
+    LEADER_REACHES_ONLY_PEERS(scene -> {
         scene.leader().cutFromWorkers = true;
-        link(scene, scene.leader(), StateStandIn.Link.SILENT, scene.forS());
+        link(scene, scene.leader(), FakeStateService.Link.PARTITIONED, scene.forS());
         scene.atEnd(() -> scene.leader().cutFromWorkers = false);
     }),
     /** Ordered machines come up late. */
-    BOOTS_LATE(scene -> {
-        scene.world().bootFactor = 2 + scene.random().nextDouble() * 10;
-        scene.atEnd(() -> scene.world().bootFactor = 1);
+    MACHINES_BOOT_SLOWLY(scene -> {
+        scene.world().bootSlowdownFactor = 2 + scene.random().nextDouble() * 10;
+        scene.atEnd(() -> scene.world().bootSlowdownFactor = 1);
     }),
     /** Every other machine that is ordered never comes up. */
-    BOOTS_NEVER(scene -> {
-        scene.world().neverBootsEvery = 2;
-        scene.atEnd(() -> scene.world().neverBootsEvery = 0);
+    MACHINES_NEVER_BOOT(scene -> {
+        scene.world().everyNthNeverBoots = 2;
+        scene.atEnd(() -> scene.world().everyNthNeverBoots = 0);
     }),
     /** Users ask hundreds of times a second at every controller, within the state service's limits. */
-    QUESTION_STORM(scene -> {
+    POLL_OVERLOAD(scene -> {
         SimulatedCluster world = scene.world();
         double forS = Math.min(scene.forS(), 12);
-        world.state.rps = 200;
+        world.stateService.rps = 200;
         for (double at = 0; at < forS; at += 0.05) {
             int first = scene.random().nextInt(26);
-            world.in(at, () -> askEverybody(world, first));
+            world.schedule(at, () -> askEverybody(world, first));
         }
-        world.in(forS + 1, () -> world.state.rps = Double.POSITIVE_INFINITY);
+        world.schedule(forS + 1, () -> world.stateService.rps = Double.POSITIVE_INFINITY);
     }),
     /** Jobs that fail on every machine, until their users cancel them. */
     FAILING_JOBS(scene -> {
         SimulatedCluster world = scene.world();
         for (int i = 0; i < 3; i++) {
-            String id = FaultScenario.id(100 + world.faulty.size());
-            world.faulty.add(id);
+            String id = FaultTestSteps.jobId(100 + world.failingJobs.size());
+            world.failingJobs.add(id);
             boolean gang = i == 2;
             Map<String, Object> urgent = Map.of("urgency", scene.random().nextBoolean() ? "prod" : "standard");
-            SimulatedCluster.Node node = world.nodes.get(scene.random().nextInt(world.nodes.size()));
+            SimulatedCluster.ControllerProcess node =
+                    world.controllers.get(scene.random().nextInt(world.controllers.size()));
             for (double again = 0; again < 9; again += 3) {
-                world.in(again, () -> {
-                    if (!world.accepted().contains(id)) {
-                        node.send(id, gang ? 4 : 20, gang, urgent);
+                world.schedule(again, () -> {
+                    if (!world.acceptedJobs().contains(id)) {
+                        node.submitAsync(id, gang ? 4 : 20, gang, urgent);
                     }
                 });
             }
-            cancel(world, id, scene.forS() + 5, i);
+            scheduleCancellation(world, id, scene.forS() + 5, i);
         }
     }),
     /** A team without a guarantee submits idle work, one large array and a swarm. */
-    GUEST_TEAM(scene -> {
+    BEST_EFFORT_TEAM(scene -> {
         SimulatedCluster world = scene.world();
         Map<String, Object> idle = Map.of("crew", "guest", "urgency", "idle");
-        SimulatedCluster.Node node = scene.any();
+        SimulatedCluster.ControllerProcess node = scene.any();
         int from = 200
-                + (int) world.accepted().stream()
+                + (int) world.acceptedJobs().stream()
                         .filter(id -> id.compareTo("wk-000200") >= 0)
                         .count();
-        node.send(FaultScenario.id(from), 150, false, idle);
+        node.submitAsync(FaultTestSteps.jobId(from), 150, false, idle);
         for (int i = 1; i <= 25; i++) {
-            String id = FaultScenario.id(from + i);
-            world.in(i * 0.25, () -> node.send(id, 1, false, idle));
+            String id = FaultTestSteps.jobId(from + i);
+            world.schedule(i * 0.25, () -> node.submitAsync(id, 1, false, idle));
         }
     });
 
-    private final Consumer<Scene> strike;
+    private final Consumer<FaultContext> strike;
     private final DoubleUnaryOperator lasts;
 
-    InjectedFault(Consumer<Scene> strike) {
+    InjectedFault(Consumer<FaultContext> strike) {
         this(strike, DoubleUnaryOperator.identity());
     }
 
-    InjectedFault(Consumer<Scene> strike, DoubleUnaryOperator lasts) {
+    InjectedFault(Consumer<FaultContext> strike, DoubleUnaryOperator lasts) {
         this.strike = strike;
         this.lasts = lasts;
     }
 
     /** How many of them, the first ones, the earlier seeds draw from. */
-    static final int EARLIER = LEADER_WITHOUT_WORKERS.ordinal() + 1;
+    static final int ORIGINAL_COUNT = LEADER_CUT_FROM_WORKERS.ordinal() + 1;
 
     /** Where a fault begins: whom it strikes, for how long, and by which luck. */
-    record Scene(
+    record FaultContext(
             SimulatedCluster world,
-            SimulatedCluster.Node leader,
-            SimulatedCluster.Node any,
+            SimulatedCluster.ControllerProcess leader,
+            SimulatedCluster.ControllerProcess any,
             List<SimulatedCluster.Worker> some,
             double forS,
             double backS,
             SplittableRandom random) {
-        static Scene of(SimulatedCluster world, double forS, SplittableRandom random) {
-            SimulatedCluster.Node any = world.nodes.get(random.nextInt(world.nodes.size()));
-            SimulatedCluster.Node leader = world.leader() == null ? any : world.leader();
+        static FaultContext of(SimulatedCluster world, double forS, SplittableRandom random) {
+            SimulatedCluster.ControllerProcess any = world.controllers.get(random.nextInt(world.controllers.size()));
+            SimulatedCluster.ControllerProcess leader = world.leader() == null ? any : world.leader();
             List<SimulatedCluster.Worker> some = new ArrayList<>(world.workers.values());
             some.removeIf(worker -> random.nextInt(3) == 0);
             double backS = random.nextBoolean() ? 0.1 + random.nextDouble() * 0.4 : 1 + random.nextDouble() * 8;
-            return new Scene(world, leader, any, some, forS, backS, random);
+            return new FaultContext(world, leader, any, some, forS, backS, random);
         }
 
         /** Runs something when the fault is over. */
         void atEnd(Runnable end) {
-            world.in(forS, end);
+            world.schedule(forS, end);
         }
 
         /** Strikes some of the machines for as long as the fault lasts. */
@@ -277,12 +280,12 @@
         }
     }
 
-    void begin(Scene scene) {
+    void inject(FaultContext scene) {
         strike.accept(scene);
     }
 
     /** Seconds after which it is over. */
-    double lastsS(double forS) {
+    double durationS(double forS) {
         return lasts.applyAsDouble(forS);
     }
 
@@ -291,7 +294,7 @@
     }
 
     private static void hang(List<SimulatedCluster.Worker> workers, double until) {
-        workers.forEach(worker -> worker.hangsUntil = until);
+        workers.forEach(worker -> worker.hungUntilS = until);
     }
 
     /** What was held up on its way arrives. */
@@ -301,66 +304,69 @@
         now.forEach(Runnable::run);
     }
 
-    private static void askOrRepeat(SimulatedCluster world, SimulatedCluster.Node node, String id, boolean repeat) {
-        if (world.body(id) == null) {
+    private static void askOrRepeat(
+            SimulatedCluster world, SimulatedCluster.ControllerProcess node, String id, boolean repeat) {
+        if (world.originalSubmission(id) == null) {
             return;
         }
         if (repeat) {
-            node.repeat(id);
+            node.resubmit(id);
         } else {
-            node.askLater("poll", id, reply -> node.users.poll(id, reply), null);
+            node.askAsync("poll", id, reply -> node.users.poll(id, reply), null);
         }
     }
 
     private static void askEverybody(SimulatedCluster world, int first) {
-        for (SimulatedCluster.Node node : world.nodes) {
+        for (SimulatedCluster.ControllerProcess node : world.controllers) {
             for (int i = 0; i < 10; i++) {
-                String id = FaultScenario.id(1 + (first + i) % 26);
-                node.askLater("poll", id, reply -> node.users.poll(id, reply), null);
+                String id = FaultTestSteps.jobId(1 + (first + i) % 26);
+                node.askAsync("poll", id, reply -> node.users.poll(id, reply), null);
             }
         }
     }
 
-    private static void linkAll(Scene scene, StateStandIn.Link link) {
+    private static void linkAll(FaultContext scene, FakeStateService.Link link) {
         double forS = Math.min(scene.forS(), 9);
-        scene.world().nodes.forEach(node -> link(scene, node, link, forS));
+        scene.world().controllers.forEach(node -> link(scene, node, link, forS));
     }
 
     /** A user cancels the job, asking again and again at different controllers. */
-    static void cancel(SimulatedCluster world, String id, double at, int first) {
+    static void scheduleCancellation(SimulatedCluster world, String id, double at, int first) {
         for (int i = 0; i < 8; i++) {
-            SimulatedCluster.Node node = world.nodes.get((first + i) % world.nodes.size());
-            world.in(at + 2 * i, () -> {
-                if (world.accepted().contains(id) && world.outcome(id) == null) {
-                    node.askLater("abort", id, x -> node.users.abort(id, x), null);
+            SimulatedCluster.ControllerProcess node = world.controllers.get((first + i) % world.controllers.size());
+            world.schedule(at + 2 * i, () -> {
+                if (world.acceptedJobs().contains(id) && world.outcome(id) == null) {
+                    node.askAsync("abort", id, x -> node.users.cancel(id, x), null);
                 }
             });
         }
     }
 
-    private static void link(Scene scene, SimulatedCluster.Node node, StateStandIn.Link link, double forS) {
-        node.link = link;
-        scene.world().in(forS, () -> {
-            if (node.link == link) {
-                node.link = StateStandIn.Link.GOOD;
+    private static void link(
+            FaultContext scene, SimulatedCluster.ControllerProcess node, FakeStateService.Link link, double forS) {
+        node.stateLink = link;
+        scene.world().schedule(forS, () -> {
+            if (node.stateLink == link) {
+                node.stateLink = FakeStateService.Link.HEALTHY;
             }
         });
     }
 
-    private static Runnable oldReports(Scene scene) {
+    private static Runnable oldReports(FaultContext scene) {
         SimulatedCluster world = scene.world();
         SplittableRandom random = scene.random();
         List<Report> old = new ArrayList<>();
         for (SimulatedCluster.Worker worker : world.workers.values()) {
-            for (Report node : worker.sent.subList(Math.max(0, worker.sent.size() - 12), worker.sent.size())) {
+            for (Report node : worker.sentReports.subList(
+                    Math.max(0, worker.sentReports.size() - 12), worker.sentReports.size())) {
                 if (random.nextInt(3) > 0) {
                     old.add(node);
                 }
             }
         }
         return () -> {
-            for (SimulatedCluster.Node node : world.nodes) {
-                if (node.up && node.frozenUntil <= world.now) {
+            for (SimulatedCluster.ControllerProcess node : world.controllers) {
+                if (node.up && node.pausedUntilS <= world.nowS) {
                     old.forEach(node.controller::handleReport);
                 }
             }
--- a/src/test/java/org/mountlug/node/LiveRecordsTest.java
+++ b/src/test/java/org/mountlug/node/JobRecordWatchTest.java
@@ -17,62 +17,62 @@
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.Reservation;
 import org.mountlug.store.StateClient;
-import org.mountlug.wire.Calls;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.HttpTransport;
+import org.mountlug.wire.PooledHttpClient;
 
 /** Up to when every cancellation that a user was told of is known, as answers come late, in any state of the loading. */
-class LiveRecordsTest {
-    private record Request(String path, Consumer<Http.Answer> then) {}
+class JobRecordWatchTest {
+    private record Request(String path, Consumer<PooledHttpClient.Response> then) {}
 
     private double now = 100;
     private final ArrayDeque<Request> requests = new ArrayDeque<>();
     private final List<Runnable> later = new ArrayList<>();
     private final Set<String> jobs = new HashSet<>();
     private final List<String> cancelled = new ArrayList<>();
-    private final Calls calls = (method, path, body, ms, then) -> requests.add(new Request(path, then));
-    private final LiveRecords records = new LiveRecords(
+    private final HttpTransport calls = (method, path, body, ms, then) -> requests.add(new Request(path, then));
+    private final JobRecordWatch records = new JobRecordWatch(
             new StateClient(calls, calls, () -> now, 100, 1),
             () -> now,
             (r, ms) -> later.add(r),
-            new LiveRecords.Term() {
+            new JobRecordWatch.Listener() {
                 @Override
-                public boolean knows(String id) {
+                public boolean isKnownJob(String id) {
                     return jobs.contains(id);
                 }
 
                 @Override
-                public void adopt(Job j, double nowS) {
+                public void addJob(Job j, double nowS) {
                     jobs.add(j.spec.id());
                 }
 
                 @Override
-                public void changed(String id, Map<String, Object> v, long stamp, double nowS) {
+                public void updateJob(String id, Map<String, Object> v, long stamp, double nowS) {
                     if (v.containsKey("x")) {
-                        cancelled(id);
+                        cancelJob(id);
                     }
                 }
 
                 @Override
-                public void orphan(String key) {}
+                public void addOrphanedKey(String key) {}
 
                 @Override
-                public void reservations(Map<String, List<Reservation>> byJob, Map<String, Long> stamps) {}
+                public void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> stamps) {}
 
                 @Override
-                public void images(Map<String, Object> v) {}
+                public void restoreImageIndex(Map<String, Object> v) {}
 
                 @Override
-                public void loaded() {}
+                public void onLoaded() {}
 
                 @Override
-                public void cancelled(String id) {
+                public void cancelJob(String id) {
                     if (!cancelled.contains(id)) {
                         cancelled.add(id);
                     }
                 }
 
                 @Override
-                public boolean ended() {
+                public boolean hasEnded() {
                     return false;
                 }
             });
@@ -87,7 +87,7 @@
     private String answer(double afterS, int status, Map<String, Object> body) {
         now += afterS;
         Request r = requests.poll();
-        r.then().accept(new Http.Answer(status, body, true));
+        r.then().accept(new PooledHttpClient.Response(status, body, true));
         return r.path();
     }
 
@@ -107,13 +107,16 @@
                 Map.of());
         for (int i = 0; i < answers.size(); i++) {
             if (noticeAfter == i) {
-                records.cancellationNoticed("wk-000001");
+                records.recordCancellation("wk-000001");
             }
-            assertEquals(Double.NEGATIVE_INFINITY, records.knownUntilS(), "nothing is known while records are read");
+            assertEquals(
+                    Double.NEGATIVE_INFINITY,
+                    records.cancellationsKnownUntilS(),
+                    "nothing is known while records are read");
             answer(1, i == 3 ? 404 : 200, answers.get(i));
         }
         if (noticeAfter == answers.size()) {
-            records.cancellationNoticed("wk-000001");
+            records.recordCancellation("wk-000001");
         }
     }
 
@@ -127,7 +130,7 @@
     @Test
     void aNoticeOfAJobThatIsNotKnownYetWaitsForItsRecord() {
         load(-1);
-        records.cancellationNoticed("wk-000002");
+        records.recordCancellation("wk-000002");
         assertEquals(List.of(), cancelled);
         Map<String, Object> r = row("wk-000002");
         answer(
@@ -148,11 +151,11 @@
             now -= 1; // the last answer of the loading and the opening of the watch are one moment
         }
         for (int i = 0; i < 50; i++) {
-            records.cancellationNoticed("wk-000077");
+            records.recordCancellation("wk-000077");
         }
-        assertEquals(1, records.noticesKept());
+        assertEquals(1, records.pendingCancellationCount());
         answer(3, 200, Map.of("epoch", 20L, "news", List.of()));
-        assertEquals(kept, records.noticesKept());
+        assertEquals(kept, records.pendingCancellationCount());
     }
 
     /** What was read first was asked for at 100 s; the watch is opened at 104 s. */
@@ -181,11 +184,11 @@
                 again();
                 answer(3, 200, Map.of("rows", List.of(), "epoch", 30L));
             }
-            case "peers" -> records.knownByPeers(120);
-            case "peers behind" -> records.knownByPeers(90);
+            case "peers" -> records.confirmCancellationsUntil(120);
+            case "peers behind" -> records.confirmCancellationsUntil(90);
             default -> {}
         }
-        assertEquals(until, records.knownUntilS());
+        assertEquals(until, records.cancellationsKnownUntilS());
     }
 
     @Test
@@ -198,6 +201,6 @@
         answer(0, 200, Map.of("rows", List.of()));
         answer(0, 200, Map.of("rows", List.of()));
         answer(0, 404, Map.of());
-        assertEquals(130, records.knownUntilS());
+        assertEquals(130, records.cancellationsKnownUntilS());
     }
 }
--- a/src/test/java/org/mountlug/node/LargeFleetTest.java
+++ b/src/test/java/org/mountlug/node/LargeFleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.id;
+import static org.mountlug.node.FaultTestSteps.jobId;
 
 import java.util.HashSet;
 import java.util.List;
@@ -28,14 +28,14 @@
     private final SimulatedCluster cluster = scenario.cluster;
 
     private int known() {
-        SimulatedCluster.Node leader = cluster.leader();
-        return leader == null ? 0 : leader.controller.machinesUp();
+        SimulatedCluster.ControllerProcess leader = cluster.leader();
+        return leader == null ? 0 : leader.controller.upMachineCount();
     }
 
     private Set<String> busy() {
         Set<String> busy = new HashSet<>();
         for (SimulatedCluster.Worker worker : cluster.workers.values()) {
-            if (!worker.held().isEmpty()) {
+            if (!worker.activeTasks().isEmpty()) {
                 busy.add(worker.name);
             }
         }
@@ -44,47 +44,52 @@
 
     @Test
     void aRoundALeaderChangeALossAndAReturnOfAllReports() {
-        cluster.runS = 1000;
+        cluster.taskDurationS = 1000;
         for (int job = 1; job <= JOBS; job++) {
-            scenario.array(job, "parts", "standard", TASKS, SimulatedCluster.TYPE_CPUS);
+            scenario.submitArray(job, "parts", "standard", TASKS, SimulatedCluster.MACHINE_CPUS);
         }
-        assertTrue(cluster.until(WAIT_S, () -> cluster.startLog.size() == JOBS * TASKS), cluster.startLog.size() + "");
+        assertTrue(
+                cluster.runUntil(WAIT_S, () -> cluster.startLog.size() == JOBS * TASKS), cluster.startLog.size() + "");
         assertEquals(MACHINES, known());
         Set<String> before = busy();
-        cluster.run(30);
-        assertNotNull(cluster.state.value(StateKeys.images(1)), "one value does not hold the images of all");
-        assertTrue(cluster.state.largestValue <= 8 * 1024);
+        cluster.runFor(30);
+        assertNotNull(
+                cluster.stateService.value(StateKeys.imageIndexShard(1)), "one value does not hold the images of all");
+        assertTrue(cluster.stateService.largestValueBytes <= 8 * 1024);
 
-        SimulatedCluster.Node leader = cluster.leader();
+        SimulatedCluster.ControllerProcess leader = cluster.leader();
         leader.kill();
-        assertTrue(cluster.until(
+        assertTrue(cluster.runUntil(
                 30, () -> cluster.leader() != null && cluster.leader() != leader && known() == cluster.workers.size()));
-        cluster.run(5);
+        cluster.runFor(5);
         assertEquals(JOBS * TASKS, cluster.startLog.size(), "nothing is started twice for the change");
         assertEquals(before, busy());
 
-        int lost = scenario.held("a").values().stream().mapToInt(List::size).sum();
-        scenario.cut("a");
-        assertTrue(scenario.until(30, "a", ZoneState.LOST));
-        assertTrue(cluster.until(WAIT_S, () -> cluster.startLog.size() >= JOBS * TASKS + lost), "all lost work lands");
+        int lost = scenario.activeTasksByJob("a").values().stream()
+                .mapToInt(List::size)
+                .sum();
+        scenario.isolate("a");
+        assertTrue(scenario.runUntilState(30, "a", ZoneState.LOST));
+        assertTrue(
+                cluster.runUntil(WAIT_S, () -> cluster.startLog.size() >= JOBS * TASKS + lost), "all lost work lands");
         scenario.rejoin("a");
-        assertTrue(scenario.until(60, "a", ZoneState.PRESENT));
+        assertTrue(scenario.runUntilState(60, "a", ZoneState.PRESENT));
         assertEquals(cluster.workers.size(), known(), "every report of the zone has come back");
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
 
         for (int job = 1; job <= JOBS; job++) {
-            String id = id(job);
-            SimulatedCluster.Node node = cluster.leader();
-            assertTrue(cluster.until(60, () -> {
-                var answer = node.abort(id);
+            String id = jobId(job);
+            SimulatedCluster.ControllerProcess node = cluster.leader();
+            assertTrue(cluster.runUntil(60, () -> {
+                var answer = node.cancel(id);
                 return answer != null && "withdrawn".equals(answer.get("status"));
             }));
         }
-        assertTrue(cluster.until(WAIT_S, () -> cluster.workers.size() <= 1), cluster.workers.size() + " are left");
-        int rented = cluster.rented;
-        cluster.run(30);
-        assertEquals(rented, cluster.rented);
+        assertTrue(cluster.runUntil(WAIT_S, () -> cluster.workers.size() <= 1), cluster.workers.size() + " are left");
+        int rented = cluster.machinesRented;
+        cluster.runFor(30);
+        assertEquals(rented, cluster.machinesRented);
         assertTrue(cluster.workers.size() <= 1);
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
     }
 }
--- a/src/test/java/org/mountlug/node/LateMessageFaultsTest.java
+++ b/src/test/java/org/mountlug/node/LateMessageFaultsTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.allStarted;
-import static org.mountlug.node.FaultScenario.end;
-import static org.mountlug.node.FaultScenario.id;
-import static org.mountlug.node.FaultScenario.on;
-import static org.mountlug.node.FaultScenario.other;
-import static org.mountlug.node.FaultScenario.submit;
+import static org.mountlug.node.FaultTestSteps.activeTaskCount;
+import static org.mountlug.node.FaultTestSteps.assertSettles;
+import static org.mountlug.node.FaultTestSteps.jobId;
+import static org.mountlug.node.FaultTestSteps.otherController;
+import static org.mountlug.node.FaultTestSteps.runUntilStarted;
+import static org.mountlug.node.FaultTestSteps.submit;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -25,54 +25,61 @@
     /** Transactions lost on their way back or carried out late, out of order, while the leader changes and jobs end apart. */
     @ParameterizedTest(name = "{0}, {1} s late, the leader ends {2} s in, jobs of {3}")
     @CsvSource({
-        "UNHEARD, 0, 2, 3",
-        "UNHEARD, 0, 0.6, 2",
-        "LATE, 2, 1, 3",
-        "LATE, 4, 1.2, 2",
-        "LATE, 12, 3, 3",
-        "LATE, 6, 0.3, 2",
-        "UNHEARD, 0, 99, 3",
-        "LATE, 3, 99, 3",
-        "LATE, 12, 99, 2"
+        "RESPONSES_LOST, 0, 2, 3",
+        "RESPONSES_LOST, 0, 0.6, 2",
+        "WRITES_DELAYED, 2, 1, 3",
+        "WRITES_DELAYED, 4, 1.2, 2",
+        "WRITES_DELAYED, 12, 3, 3",
+        "WRITES_DELAYED, 6, 0.3, 2",
+        "RESPONSES_LOST, 0, 99, 3",
+        "WRITES_DELAYED, 3, 99, 3",
+        "WRITES_DELAYED, 12, 99, 2"
     })
-    void writesThatAreCarriedOutUnheardOrLate(StateStandIn.Link link, double lateS, double endsS, int tasks) {
+    void writesThatAreCarriedOutUnheardOrLate(FakeStateService.Link link, double lateS, double endsS, int tasks) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.state.lateS = lateS;
-        w.runS = 6;
-        w.accept(id(90), 4, false);
-        w.run(12);
+        w.stateService.writeDelayS = lateS;
+        w.taskDurationS = 6;
+        w.submitUntilAccepted(jobId(90), 4, false);
+        w.runFor(12);
         for (int i = 1; i <= 6; i++) {
-            w.accept(id(i), tasks, i % 3 == 0);
+            w.submitUntilAccepted(jobId(i), tasks, i % 3 == 0);
         }
-        w.run(1.5);
+        w.runFor(1.5);
         // Of a job of three, tasks end seconds apart: each on a machine of another speed.
         double[] slow = {1};
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.slow = slow[0] += 0.6;
+            k.slowdownFactor = slow[0] += 0.6;
         }
-        for (SimulatedCluster.Node n : w.nodes) {
-            n.link = link;
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
+            n.stateLink = link;
         }
-        SimulatedCluster.Node old = w.leader();
+        SimulatedCluster.ControllerProcess old = w.leader();
         long token = old.token();
         if (endsS < 90) {
-            w.in(endsS, () -> old.restartAfter(1.5));
+            w.schedule(endsS, () -> old.restartAfter(1.5));
         }
-        w.in(
+        w.schedule(
                 1,
-                () -> w.nodes
+                () -> w.controllers
                         .get(1)
-                        .askLater("abort", id(4), r -> w.nodes.get(1).users.abort(id(4), r), null));
-        w.run(9);
-        for (SimulatedCluster.Node n : w.nodes) {
-            n.link = StateStandIn.Link.GOOD;
+                        .askAsync(
+                                "abort",
+                                jobId(4),
+                                r -> w.controllers.get(1).users.cancel(jobId(4), r),
+                                null));
+        w.runFor(9);
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
+            n.stateLink = FakeStateService.Link.HEALTHY;
         }
-        w.run(lateS);
-        assertTrue(link == StateStandIn.Link.LATE ? w.state.lateCarriedOut > 1 : w.state.unheard > 0);
+        w.runFor(lateS);
+        assertTrue(
+                link == FakeStateService.Link.WRITES_DELAYED
+                        ? w.stateService.delayedWritesApplied > 1
+                        : w.stateService.writesWithLostResponse > 0);
         if (endsS >= 90) {
             assertEquals(token, w.leader().token(), "nobody takes its own late write for another leader's");
         }
-        end(w, 150);
+        assertSettles(w, 150);
     }
 
     /** What a leader wrote before it was deposed and that is carried out under the next one changes nothing. */
@@ -81,39 +88,39 @@
     void aWriteOfADeposedLeaderIsCarriedOutUnderTheNext(double intoS) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.capacity = 3;
-        w.runS = 40;
-        w.accept(id(1), 8, false, Map.of("dueS", 15.0));
-        assertTrue(w.until(60, () -> on(w, id(1)) == 8));
-        w.run(3);
-        SimulatedCluster.Node old = w.leader();
-        w.state.onMulti = (from, body) -> {
-            if (from == old && body.toString().contains("put=j/" + id(2))) {
-                old.link = StateStandIn.Link.SILENT;
+        w.taskDurationS = 40;
+        w.submitUntilAccepted(jobId(1), 8, false, Map.of("dueS", 15.0));
+        assertTrue(w.runUntil(60, () -> activeTaskCount(w, jobId(1)) == 8));
+        w.runFor(3);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        w.stateService.onTransaction = (from, body) -> {
+            if (from == old && body.toString().contains("put=j/" + jobId(2))) {
+                old.stateLink = FakeStateService.Link.PARTITIONED;
             }
         };
-        other(w, old).submit(id(2), 4, false, Map.of("dueS", 5.0));
-        assertTrue(w.until(20, () -> old.link == StateStandIn.Link.SILENT), "it placed the job");
-        w.state.onMulti = null;
+        otherController(w, old).submit(jobId(2), 4, false, Map.of("dueS", 5.0));
+        assertTrue(w.runUntil(20, () -> old.stateLink == FakeStateService.Link.PARTITIONED), "it placed the job");
+        w.stateService.onTransaction = null;
         old.cutFromPeers = true;
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.cut = true; // so that the next leader has not written the job yet
+            k.disconnected = true; // so that the next leader has not written the job yet
         }
-        assertTrue(w.until(12, () -> w.leader() != old && w.leader() != null));
-        w.run(intoS);
-        assertTrue(!w.state.heldBack.isEmpty());
-        Object before = w.state.value("j/" + id(2));
+        assertTrue(w.runUntil(12, () -> w.leader() != old && w.leader() != null));
+        w.runFor(intoS);
+        assertTrue(!w.stateService.heldTransactions.isEmpty());
+        Object before = w.stateService.value("j/" + jobId(2));
         long token = w.leader().token();
-        w.state.heldBack.forEach(Runnable::run);
-        w.state.heldBack.clear();
-        assertEquals(before, w.state.value("j/" + id(2)));
-        w.run(2);
+        w.stateService.heldTransactions.forEach(Runnable::run);
+        w.stateService.heldTransactions.clear();
+        assertEquals(before, w.stateService.value("j/" + jobId(2)));
+        w.runFor(2);
         assertEquals(token, w.leader().token(), "nobody takes it for a newer leader's");
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.cut = false;
+            k.disconnected = false;
         }
-        old.link = StateStandIn.Link.GOOD;
+        old.stateLink = FakeStateService.Link.HEALTHY;
         old.cutFromPeers = false;
-        end(w, 200);
+        assertSettles(w, 200);
     }
 
     /** A write of reservations that is carried out after newer ones of the same term must not come back. */
@@ -121,32 +128,35 @@
     void reservationsWrittenLateDoNotReplaceNewerOnes() {
         SimulatedCluster w = new SimulatedCluster(1);
         w.cloud.capacity = 3;
-        w.runS = 20;
-        w.accept(id(1), 12, false);
-        assertTrue(allStarted(w, 12));
-        w.run(3);
+        w.taskDurationS = 20;
+        w.submitUntilAccepted(jobId(1), 12, false);
+        assertTrue(runUntilStarted(w, 12));
+        w.runFor(3);
         List<Map<String, Object>> late = new ArrayList<>();
-        w.state.onMulti = (from, body) -> {
-            if (late.isEmpty() && body.toString().contains("put=r/" + id(2))) {
+        w.stateService.onTransaction = (from, body) -> {
+            if (late.isEmpty() && body.toString().contains("put=r/" + jobId(2))) {
                 late.add(body);
             }
         };
-        w.accept(id(2), 12, true);
+        w.submitUntilAccepted(jobId(2), 12, true);
         // What makes room for it takes a while to be gone, and the room is held meanwhile.
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.hangsUntil = w.now + 6;
+            k.hungUntilS = w.nowS + 6;
         }
-        w.nodes.get(0).abort(id(1));
-        assertTrue(w.until(20, () -> !w.state.keys("r/").isEmpty()), "room is reserved");
-        Object before = w.state.value("r/" + id(2));
-        assertTrue(w.until(120, () -> w.state.value("r/" + id(2)) == null && on(w, id(2)) == 12), "and used");
+        w.controllers.get(0).cancel(jobId(1));
+        assertTrue(w.runUntil(20, () -> !w.stateService.keys("r/").isEmpty()), "room is reserved");
+        Object before = w.stateService.value("r/" + jobId(2));
+        assertTrue(
+                w.runUntil(
+                        120, () -> w.stateService.value("r/" + jobId(2)) == null && activeTaskCount(w, jobId(2)) == 12),
+                "and used");
         assertNotNull(before);
         // Its first copy had no answer, was sent again, and is now carried out once more.
         for (Map<String, Object> b : late) {
-            w.state.again(b);
+            w.stateService.replayTransaction(b);
         }
-        assertEquals(List.of(), w.state.keys("r/"));
-        end(w, 100);
+        assertEquals(List.of(), w.stateService.keys("r/"));
+        assertSettles(w, 100);
     }
 
     /**
@@ -168,23 +178,23 @@
             double bootS, double lateS, double fromS, double endsS, String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.listLagS = 20;
-        w.bootS = bootS;
-        w.state.lateS = lateS;
-        w.runS = 8;
-        w.run(6);
+        w.machineBootS = bootS;
+        w.stateService.writeDelayS = lateS;
+        w.taskDurationS = 8;
+        w.runFor(6);
         submit(w, 1, shape, 8);
         submit(w, 2, "array", 6);
-        assertTrue(w.until(10, () -> !w.workers.isEmpty()), "rented");
-        SimulatedCluster.Node old = w.leader();
-        w.in(fromS, () -> old.link = StateStandIn.Link.LATE);
+        assertTrue(w.runUntil(10, () -> !w.workers.isEmpty()), "rented");
+        SimulatedCluster.ControllerProcess old = w.leader();
+        w.schedule(fromS, () -> old.stateLink = FakeStateService.Link.WRITES_DELAYED);
         if (endsS < 90) {
-            w.in(endsS, () -> old.restartAfter(0.3));
+            w.schedule(endsS, () -> old.restartAfter(0.3));
         }
-        w.run(7);
-        old.link = StateStandIn.Link.GOOD;
-        w.run(lateS);
-        assertTrue(w.state.lateCarriedOut > 0, "a write was carried out late");
-        end(w, 150);
+        w.runFor(7);
+        old.stateLink = FakeStateService.Link.HEALTHY;
+        w.runFor(lateS);
+        assertTrue(w.stateService.delayedWritesApplied > 0, "a write was carried out late");
+        assertSettles(w, 150);
     }
 
     /** Old reports, also of an earlier session or attempt, reach every controller just as a new leader begins, or once it has acted. */
@@ -202,19 +212,19 @@
     })
     void oldReportsMeetANewLeader(double afterS, int last, boolean sessionEnded, String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 9;
+        w.taskDurationS = 9;
         submit(w, 1, shape, 8);
         submit(w, 2, "array", 8);
-        assertTrue(allStarted(w, 16));
-        w.run(6);
+        assertTrue(runUntilStarted(w, 16));
+        w.runFor(6);
         int[] copies = new int[1];
         List<Report> kept = new ArrayList<>();
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            kept.addAll(k.sent.subList(Math.max(0, k.sent.size() - last), k.sent.size()));
+            kept.addAll(k.sentReports.subList(Math.max(0, k.sentReports.size() - last), k.sentReports.size()));
         }
-        SimulatedCluster.Node old = w.leader();
-        w.onLead.add(n -> w.in(afterS, () -> {
-            for (SimulatedCluster.Node x : w.nodes) {
+        SimulatedCluster.ControllerProcess old = w.leader();
+        w.onTermStart.add(n -> w.schedule(afterS, () -> {
+            for (SimulatedCluster.ControllerProcess x : w.controllers) {
                 for (Report r : kept) {
                     if (x.up) {
                         x.controller.handleReport(r);
@@ -225,15 +235,15 @@
         }));
         if (sessionEnded) {
             for (SimulatedCluster.Worker k : new ArrayList<>(w.workers.values())) {
-                k.cut = true;
-                w.in(11, () -> k.cut = false);
+                k.disconnected = true;
+                w.schedule(11, () -> k.disconnected = false);
             }
         }
-        w.run(0.5);
+        w.runFor(0.5);
         old.restartAfter(2);
-        w.run(13 + afterS);
+        w.runFor(13 + afterS);
         assertTrue(copies[0] > 0, "they came to a new leader");
-        end(w, 150);
+        assertSettles(w, 150);
     }
 
     /**
@@ -244,34 +254,36 @@
     @CsvSource({"1, array", "3, array", "3.5, gang", "2, gang"})
     void aReportOvertakenByTheAnswerToOrdersRenewsTheLease(double heldS, String shape) {
         SimulatedCluster w = new SimulatedCluster(1, List.of(new Team("t", 0, 0, 0, 0, 1)), 10);
-        w.runS = 60;
+        w.taskDurationS = 60;
         w.cloud.capacity = 1;
-        w.accept(id(9), 1, false);
-        assertTrue(allStarted(w, 1));
+        w.submitUntilAccepted(jobId(9), 1, false);
+        assertTrue(runUntilStarted(w, 1));
         SimulatedCluster.Worker k = w.workers.values().iterator().next();
-        w.run(4.1);
+        w.runFor(4.1);
         // From here on its reports are held up on their way, and orders straight to it are not.
-        k.reportLateS = heldS;
+        k.reportDelayS = heldS;
         for (int i = 1; i <= 3; i++) {
-            String id = id(i);
-            w.in(0.1 + 1.3 * i, () -> submit(w, Integer.parseInt(id.substring(3)), shape, 1));
+            String id = jobId(i);
+            w.schedule(0.1 + 1.3 * i, () -> submit(w, Integer.parseInt(id.substring(3)), shape, 1));
         }
-        assertTrue(w.until(20, () -> k.overtaken && k.held().size() >= 2), "a report was overtaken");
-        k.cut = true;
-        w.in(3, () -> w.worker("a")); // room for its work as soon as it is taken for gone
-        w.run(25);
+        assertTrue(w.runUntil(20, () -> k.reportOvertaken && k.activeTasks().size() >= 2), "a report was overtaken");
+        k.disconnected = true;
+        w.schedule(3, () -> w.addMachine("a")); // room for its work as soon as it is taken for gone
+        w.runFor(25);
         assertTrue(
-                w.workers.values().stream().anyMatch(x -> x != k && !x.held().isEmpty()), "its work went on elsewhere");
-        k.cut = false;
-        k.reportLateS = 0;
+                w.workers.values().stream()
+                        .anyMatch(x -> x != k && !x.activeTasks().isEmpty()),
+                "its work went on elsewhere");
+        k.disconnected = false;
+        k.reportDelayS = 0;
         w.cloud.capacity = 12;
-        w.runS = 5;
+        w.taskDurationS = 5;
         if (shape.equals("service")) {
             for (int i = 1; i <= 3; i++) {
-                w.nodes.get(0).abort(id(i));
+                w.controllers.get(0).cancel(jobId(i));
             }
         }
-        end(w, 150);
+        assertSettles(w, 150);
     }
 
     /** A command or its answer is held up for seconds, the machine goes on, and meanwhile a user cancels or the leader ends. */
@@ -288,60 +300,64 @@
     })
     void ordersHeldUpWhileTheMachineHangs(double lateS, double hungS, double cancelS, boolean ends, String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 40;
-        w.accept(id(9), 8, false);
-        assertTrue(allStarted(w, 8));
-        w.run(3);
-        w.commandLateS = lateS;
+        w.taskDurationS = 40;
+        w.submitUntilAccepted(jobId(9), 8, false);
+        assertTrue(runUntilStarted(w, 8));
+        w.runFor(3);
+        w.commandDelayS = lateS;
         submit(w, 1, shape, 6);
         submit(w, 2, shape, 4);
-        w.run(1.2);
+        w.runFor(1.2);
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.hangsUntil = w.now + hungS;
+            k.hungUntilS = w.nowS + hungS;
         }
-        w.run(cancelS);
-        for (int i = 0; i < 8 && !w.cancelledAt.containsKey(id(1)); i++) {
-            other(w, w.leader()).abort(id(1));
+        w.runFor(cancelS);
+        for (int i = 0; i < 8 && !w.cancelAcknowledgedAtS.containsKey(jobId(1)); i++) {
+            otherController(w, w.leader()).cancel(jobId(1));
         }
-        assertTrue(w.cancelledAt.containsKey(id(1)));
+        assertTrue(w.cancelAcknowledgedAtS.containsKey(jobId(1)));
         if (ends) {
             w.leader().restartAfter(0.2);
         }
-        w.run(SimulatedCluster.CANCEL_S + 2);
-        assertEquals(0, on(w, id(1)));
-        w.commandLateS = 0;
-        w.runS = 5;
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 2);
+        assertEquals(0, activeTaskCount(w, jobId(1)));
+        w.commandDelayS = 0;
+        w.taskDurationS = 5;
         if (shape.equals("service")) {
-            w.nodes.get(0).abort(id(2));
+            w.controllers.get(0).cancel(jobId(2));
         }
-        end(w, 200);
+        assertSettles(w, 200);
     }
 
     /** A campaign whose answer is lost or that is carried out late makes nobody keep a key alive that it does not know of. */
     @ParameterizedTest(name = "{0}, {1} s late")
-    @CsvSource({"UNHEARD, 0", "LATE, 1", "LATE, 3", "LATE, 12"})
-    void anElectionWhoseAnswerIsLost(StateStandIn.Link link, double lateS) {
+    @CsvSource({"RESPONSES_LOST, 0", "WRITES_DELAYED, 1", "WRITES_DELAYED, 3", "WRITES_DELAYED, 12"})
+    void anElectionWhoseAnswerIsLost(FakeStateService.Link link, double lateS) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 30;
-        w.state.lateS = lateS;
-        w.accept(id(1), 8, false);
-        assertTrue(allStarted(w, 8));
-        w.run(3);
-        SimulatedCluster.Node old = w.leader();
-        for (SimulatedCluster.Node n : w.nodes) {
+        w.taskDurationS = 30;
+        w.stateService.writeDelayS = lateS;
+        w.submitUntilAccepted(jobId(1), 8, false);
+        assertTrue(runUntilStarted(w, 8));
+        w.runFor(3);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
             if (n != old) {
-                n.link = link;
+                n.stateLink = link;
             }
         }
         old.restartAfter(9);
-        w.run(8.5);
-        for (SimulatedCluster.Node n : w.nodes) {
-            n.link = StateStandIn.Link.GOOD;
+        w.runFor(8.5);
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
+            n.stateLink = FakeStateService.Link.HEALTHY;
         }
-        assertTrue(w.until(9, () -> w.leader() != null), "the key does not stay with somebody who does not know");
-        w.run(4 + lateS);
-        assertTrue(link == StateStandIn.Link.LATE ? w.state.lateCarriedOut > 0 : w.state.unheard > 0);
-        assertEquals(1, w.nodes.stream().filter(n -> n.controller.leads()).count());
-        end(w, 150);
+        assertTrue(w.runUntil(9, () -> w.leader() != null), "the key does not stay with somebody who does not know");
+        w.runFor(4 + lateS);
+        assertTrue(
+                link == FakeStateService.Link.WRITES_DELAYED
+                        ? w.stateService.delayedWritesApplied > 0
+                        : w.stateService.writesWithLostResponse > 0);
+        assertEquals(
+                1, w.controllers.stream().filter(n -> n.controller.isLeading()).count());
+        assertSettles(w, 150);
     }
 }
--- a/src/test/java/org/mountlug/node/LoopbackCluster.java
+++ b/src/test/java/org/mountlug/node/LoopbackCluster.java
@@ -26,13 +26,13 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.mountlug.core.model.Order;
+import org.mountlug.core.model.Command;
 import org.mountlug.core.model.Report;
-import org.mountlug.settings.Operators;
+import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.PooledHttpClient;
 
 /**
  * Real controllers over loopback sockets against the stand-ins of a simulated cluster, whose clock follows the real one: the
@@ -44,11 +44,11 @@
     private static final Duration REPORT_TIMEOUT = Duration.ofSeconds(4);
 
     /** All of it is touched under its own monitor only. */
-    final SimulatedCluster world;
+    final SimulatedCluster simulation;
 
-    private final SimulatedCluster.Node user;
+    private final SimulatedCluster.ControllerProcess user;
     private final List<HttpServer> servers = new ArrayList<>();
-    private final List<Daemon> daemons = new ArrayList<>();
+    private final List<ControllerServer> daemons = new ArrayList<>();
     private final List<String> controllers = new ArrayList<>();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final HttpClient client =
@@ -56,23 +56,26 @@
     private final Path directory = Files.createTempDirectory("loopback");
     private volatile boolean closed;
     /** The longest time between two turns of the clock: what a busy machine may have delayed anything by. */
-    private volatile double longestTurnS;
+    private volatile double longestClockStepS;
 
-    LoopbackCluster(SimulatedCluster world, Operators operators, int count) throws IOException, Settings.Invalid {
-        this.world = world;
-        user = world.new Node("user", 0, List.of());
-        world.reporting = this::report;
-        String state = serve(call -> world.state
-                .calls(null, () -> StateStandIn.Link.GOOD)
+    LoopbackCluster(SimulatedCluster simulation, OperatorSettings operators, int count)
+            throws IOException, Settings.InvalidSettingException {
+        this.simulation = simulation;
+        user = simulation.new ControllerProcess("user", 0, List.of());
+        simulation.reportSender = this::report;
+        String state = serve(call -> simulation
+                .stateService
+                .connectionFrom(null, () -> FakeStateService.Link.HEALTHY)
                 .call(call.method, call.path, call.body, call.waitMs(), call.then));
-        String cloud = serve(call -> world.cloud.call(call.method, call.path, call.body, call.waitMs(), call.then));
+        String cloud =
+                serve(call -> simulation.cloud.call(call.method, call.path, call.body, call.waitMs(), call.then));
         int[] ports = freePorts(2 * count);
         for (int i = 0; i < count; i++) {
             Settings settings = Settings.load(settingsFile(i, count, ports, state, cloud), operators);
-            Daemon daemon = new Daemon(settings, operators, List.of());
+            ControllerServer daemon = new ControllerServer(settings, operators, List.of());
             daemon.start();
             daemons.add(daemon);
-            controllers.add(settings.listen());
+            controllers.add(settings.listenAddress());
         }
         threads.execute(this::followClock);
     }
@@ -84,17 +87,17 @@
         while (!closed) {
             long now = System.nanoTime();
             double turnS = (now - last) / 1e9;
-            longestTurnS = Math.max(longestTurnS, turnS);
-            synchronized (world) {
-                world.run(turnS);
+            longestClockStepS = Math.max(longestClockStepS, turnS);
+            synchronized (simulation) {
+                simulation.runFor(turnS);
             }
             last = now;
             pause(STEP_MS);
         }
     }
 
-    double longestTurnS() {
-        return longestTurnS;
+    double longestClockStepS() {
+        return longestClockStepS;
     }
 
     private static void pause(long ms) {
@@ -106,10 +109,10 @@
     }
 
     /** Waits until a condition holds, looked at under the world's monitor; false if it never does. */
-    boolean until(double mostS, java.util.function.BooleanSupplier condition) {
-        long end = System.nanoTime() + (long) (mostS * 1e9);
+    boolean waitUntil(double timeoutS, java.util.function.BooleanSupplier condition) {
+        long end = System.nanoTime() + (long) (timeoutS * 1e9);
         while (System.nanoTime() < end) {
-            synchronized (world) {
+            synchronized (simulation) {
                 if (condition.getAsBoolean()) {
                     return true;
                 }
@@ -122,7 +125,8 @@
     // ---- servers ------------------------------------------------------------------------------------------------
 
     /** A request to a stand-in, to be answered at any later time. */
-    private record Call(HttpString method, String path, Map<String, Object> body, Consumer<Http.Answer> then) {
+    private record Call(
+            HttpString method, String path, Map<String, Object> body, Consumer<PooledHttpClient.Response> then) {
         int waitMs() {
             Matcher block = Pattern.compile("blockMs=(\\d+)").matcher(path);
             return block.find() ? Integer.parseInt(block.group(1)) : 1000;
@@ -140,9 +144,9 @@
 
     private void answer(HttpExchange exchange, Consumer<Call> standIn) throws IOException {
         byte[] raw = exchange.getRequestBody().readAllBytes();
-        CompletableFuture<Http.Answer> answered = new CompletableFuture<>();
+        CompletableFuture<PooledHttpClient.Response> answered = new CompletableFuture<>();
         Map<String, Object> body = raw.length == 0 ? Map.of() : Cbor.readMap(raw);
-        synchronized (world) {
+        synchronized (simulation) {
             standIn.accept(new Call(
                     new HttpString(exchange.getRequestMethod()),
                     exchange.getRequestURI().toString(),
@@ -150,7 +154,7 @@
                     answered::complete));
         }
         try {
-            Http.Answer answer = answered.get((long) STANDIN_WAIT_S, TimeUnit.SECONDS);
+            PooledHttpClient.Response answer = answered.get((long) STANDIN_WAIT_S, TimeUnit.SECONDS);
             byte[] out = Cbor.write(answer.body());
             exchange.sendResponseHeaders(answer.status(), out.length);
             exchange.getResponseBody().write(out);
@@ -209,7 +213,7 @@
                 [cluster.cloud]
                 rps = 4.0
                 list_lag_s = 1.0
-                """.formatted(world.leaseS));
+                """.formatted(simulation.workerLeaseS));
         Path file = directory.resolve("c-" + index + ".toml");
         Files.writeString(file, text);
         return file;
@@ -218,71 +222,77 @@
     // ---- workers ------------------------------------------------------------------------------------------------
 
     /** Opens the address at which the worker takes orders; one that is cut off never answers. */
-    void open(SimulatedCluster.Worker worker) throws IOException {
+    void openCommandEndpoint(SimulatedCluster.Worker worker) throws IOException {
         worker.address = serve(call -> {
-            if (!worker.inside) {
-                worker.command(call.body, call.then);
+            if (!worker.inIsolatedZone) {
+                worker.handleCommands(call.body, call.then);
             }
         });
     }
 
     /** Sends a worker's report, as the worker's clock says. */
     private void report(SimulatedCluster.Worker worker) {
-        if (worker.inside) {
+        if (worker.inIsolatedZone) {
             tryNext(worker, 2);
             return;
         }
-        Report report = worker.report();
-        double sentAt = world.now;
-        HttpRequest request = request(controllers.get(worker.at), "/agent/beat", Cbor.write(worker.message(report)));
+        Report report = worker.createReport();
+        double sentAt = simulation.nowS;
+        HttpRequest request = request(
+                controllers.get(worker.controllerIndex), "/agent/beat", Cbor.write(worker.reportMessage(report)));
         client.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray()).whenComplete((answer, failure) -> {
-            synchronized (world) {
+            synchronized (simulation) {
                 reported(worker, report, sentAt, failure == null ? answer : null);
             }
         });
     }
 
     private void reported(SimulatedCluster.Worker worker, Report report, double sentAt, HttpResponse<byte[]> answer) {
-        if (worker.gone || closed) {
+        if (worker.terminated || closed) {
             return;
         }
-        if (answer == null || worker.inside) {
+        if (answer == null || worker.inIsolatedZone) {
             tryNext(worker, 1);
             return;
         }
         Map<String, Object> body = readMap(answer.body());
         if (answer.statusCode() == 200) {
-            List<Order> orders = new ArrayList<>();
-            for (Object element : Fields.list(body, "orders")) {
-                orders.add(order(Fields.map(element)));
+            List<Command> orders = new ArrayList<>();
+            for (Object element : Fields.getList(body, "orders")) {
+                orders.add(order(Fields.asMap(element)));
             }
-            worker.heard(
-                    new Controller.ReportAnswer.Orders(Fields.num(body, "baton", 0), orders), sentAt, report.session());
+            worker.handleReportResponse(
+                    new Controller.ReportResponse.Commands(Fields.getLong(body, "baton", 0), orders),
+                    sentAt,
+                    report.session());
             return;
         }
-        String foreman = Fields.str(body, "foreman");
+        String foreman = Fields.getString(body, "foreman");
         if (answer.statusCode() == 421 && foreman != null) {
-            worker.at = Integer.parseInt(foreman.substring(2));
-            world.in(0.2, worker::sendReport);
+            worker.controllerIndex = Integer.parseInt(foreman.substring(2));
+            simulation.schedule(0.2, worker::sendReport);
         } else {
             tryNext(worker, 1);
         }
     }
 
     private void tryNext(SimulatedCluster.Worker worker, double afterS) {
-        worker.at = (worker.at + 1) % controllers.size();
-        world.in(afterS, worker::sendReport);
+        worker.controllerIndex = (worker.controllerIndex + 1) % controllers.size();
+        simulation.schedule(afterS, worker::sendReport);
     }
 
-    private static Order order(Map<String, Object> order) {
-        Order.Verb verb =
-                switch (Fields.str(order, "verb", "")) {
-                    case "start" -> Order.Verb.START;
-                    case "kill" -> Order.Verb.STOP;
-                    default -> Order.Verb.FORGET;
+    private static Command order(Map<String, Object> order) {
+        Command.Verb verb =
+                switch (Fields.getString(order, "verb", "")) {
+                    case "start" -> Command.Verb.START;
+                    case "kill" -> Command.Verb.STOP;
+                    default -> Command.Verb.FORGET;
                 };
-        return new Order(
-                verb, Fields.str(order, "piece"), Fields.num(order, "try", 0), Fields.dec(order, "leewayS", 0));
+        return new Command(
+                verb,
+                Fields.getString(order, "piece"),
+                Fields.getLong(order, "try", 0),
+                Fields.getDouble(order, "leewayS", 0));
     }
 
     // ---- users --------------------------------------------------------------------------------------------------
@@ -302,10 +312,10 @@
     }
 
     /** Submits a job at any controller until one accepts it. */
-    boolean submit(String id, int tasks, Map<String, Object> more) {
+    boolean submitUntilAccepted(String id, int tasks, Map<String, Object> extraFields) {
         byte[] body;
-        synchronized (world) {
-            body = user.body(id, tasks, false, more);
+        synchronized (simulation) {
+            body = user.buildSubmission(id, tasks, false, extraFields);
         }
         for (int attempt = 0; attempt < 30; attempt++) {
             int status = ask(attempt, "submission", id, "/work", body);
@@ -318,10 +328,10 @@
     }
 
     /** Submits a job at one controller, once, and returns the status code; 0 if there was no answer. */
-    int submitAt(int controller, String id, Map<String, Object> more) {
+    int submitOnce(int controller, String id, Map<String, Object> extraFields) {
         byte[] body;
-        synchronized (world) {
-            body = user.body(id, 1, false, more);
+        synchronized (simulation) {
+            body = user.buildSubmission(id, 1, false, extraFields);
         }
         return ask(controller, "submission", id, "/work", body);
     }
@@ -333,15 +343,15 @@
 
     private int ask(int controller, String question, String id, String path, byte[] body) {
         double askedAt;
-        synchronized (world) {
-            askedAt = world.now;
+        synchronized (simulation) {
+            askedAt = simulation.nowS;
         }
         try {
             HttpResponse<byte[]> answer = client.send(
                     request(controllers.get(controller % controllers.size()), path, body),
                     HttpResponse.BodyHandlers.ofByteArray());
-            synchronized (world) {
-                world.told(id, askedAt, question, answer.statusCode(), readMap(answer.body()));
+            synchronized (simulation) {
+                simulation.checkResponse(id, askedAt, question, answer.statusCode(), readMap(answer.body()));
             }
             return answer.statusCode();
         } catch (IOException e) {
@@ -353,7 +363,7 @@
     }
 
     /** A zone's meter as the leading controller shows it; NaN while none does. */
-    double meter(String name, String zone) {
+    double zoneMetric(String name, String zone) {
         Pattern line = Pattern.compile(name + "\\{zone=\"" + zone + "\"\\} (\\S+)");
         for (String controller : controllers) {
             try {
@@ -375,7 +385,7 @@
     @Override
     public void close() throws IOException {
         closed = true;
-        daemons.forEach(Daemon::stop);
+        daemons.forEach(ControllerServer::stop);
         servers.forEach(server -> server.stop(0));
         threads.shutdownNow();
         try (var files = Files.list(directory)) {
--- a/src/test/java/org/mountlug/node/OperatorViewTest.java
+++ b/src/test/java/org/mountlug/node/ObservabilityTest.java
@@ -11,7 +11,7 @@
 import org.mountlug.core.cluster.EventSummary;
 
 /** What an operator on call can tell from the log and the meters. */
-class OperatorViewTest {
+class ObservabilityTest {
     private static String id(int number) {
         return String.format("wk-%06d", number);
     }
@@ -29,23 +29,23 @@
                         "lost of wk-000001, exited ERROR: 173, wk-000001/0, wk-000001/1, wk-000001/2 and others",
                         "returning, idle: n-1"),
                 events.lines());
-        assertEquals(174, events.details().size());
+        assertEquals(174, events.detailLines().size());
     }
 
     /** One state, one change, one line: not one for each request that was refused. */
     @Test
     void anOverloadIsNotedOnceAndEndsOnce() {
         OverloadLog log = new OverloadLog();
-        log.look(0, 1);
-        assertFalse(log.overloaded());
+        log.observe(0, 1);
+        assertFalse(log.isOverloaded());
         for (int t = 2; t < 30; t++) {
-            log.look(t * 50, t);
-            assertTrue(log.overloaded());
+            log.observe(t * 50, t);
+            assertTrue(log.isOverloaded());
         }
-        log.look(29 * 50, 35);
-        assertTrue(log.overloaded());
-        log.look(29 * 50, 60);
-        assertFalse(log.overloaded());
+        log.observe(29 * 50, 35);
+        assertTrue(log.isOverloaded());
+        log.observe(29 * 50, 60);
+        assertFalse(log.isOverloaded());
     }
 
     /** Each trouble shows in a meter of its own, so that one can be told from another. */
@@ -62,36 +62,36 @@
     })
     void eachTroubleShowsInItsMeter(String trouble, String meter) {
         SimulatedCluster world = new SimulatedCluster(3);
-        world.runS = 15;
+        world.taskDurationS = 15;
         world.cloud.capacity = 8;
-        world.accept(id(1), 400, false);
-        assertTrue(world.until(60, () -> world.workers.size() == 8 && world.runs(id(1))));
-        world.run(6);
-        SimulatedCluster.Node leader = world.leader();
+        world.submitUntilAccepted(id(1), 400, false);
+        assertTrue(world.runUntil(60, () -> world.workers.size() == 8 && world.isRunning(id(1))));
+        world.runFor(6);
+        SimulatedCluster.ControllerProcess leader = world.leader();
         double quiet = value(leader, meter);
         switch (trouble) {
             case "failing job" -> {
-                world.faulty.add(id(2));
-                world.accept(id(2), 24, false, java.util.Map.of("urgency", "prod"));
+                world.failingJobs.add(id(2));
+                world.submitUntilAccepted(id(2), 24, false, java.util.Map.of("urgency", "prod"));
             }
-            case "faulty machine" -> world.workers.values().iterator().next().sick = true;
-            case "machines cut off" -> world.workers.values().forEach(worker -> worker.cut = true);
+            case "faulty machine" -> world.workers.values().iterator().next().failsAllTasks = true;
+            case "machines cut off" -> world.workers.values().forEach(worker -> worker.disconnected = true);
             case "machines that never boot" -> {
                 world.cloud.capacity = 30;
-                world.bootS = 1000;
-                world.accept(id(2), 80, false);
+                world.machineBootS = 1000;
+                world.submitUntilAccepted(id(2), 80, false);
             }
-            case "no capacity" -> world.accept(id(2), 400, false);
-            case "standstill" -> leader.freeze(3);
+            case "no capacity" -> world.submitUntilAccepted(id(2), 400, false);
+            case "standstill" -> leader.pause(3);
             default -> {
-                world.state.outage = true;
+                world.stateService.outage = true;
                 leader.cutFromPeers = true;
             }
         }
-        assertTrue(world.until(40, () -> value(leader, meter) > quiet), "from " + quiet);
+        assertTrue(world.runUntil(40, () -> value(leader, meter) > quiet), "from " + quiet);
     }
 
-    private static double value(SimulatedCluster.Node node, String meter) {
+    private static double value(SimulatedCluster.ControllerProcess node, String meter) {
         for (String line : node.controller.metrics().scrape().split("\n")) {
             if (line.startsWith(meter + " ")) {
                 return Double.parseDouble(line.substring(meter.length() + 1));
--- a/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
+++ b/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.allStarted;
-import static org.mountlug.node.FaultScenario.end;
-import static org.mountlug.node.FaultScenario.id;
-import static org.mountlug.node.FaultScenario.on;
-import static org.mountlug.node.FaultScenario.other;
-import static org.mountlug.node.FaultScenario.submit;
+import static org.mountlug.node.FaultTestSteps.activeTaskCount;
+import static org.mountlug.node.FaultTestSteps.assertSettles;
+import static org.mountlug.node.FaultTestSteps.jobId;
+import static org.mountlug.node.FaultTestSteps.otherController;
+import static org.mountlug.node.FaultTestSteps.runUntilStarted;
+import static org.mountlug.node.FaultTestSteps.submit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,41 +29,41 @@
     @CsvSource({"false, array", "true, array", "true, gang", "false, service"})
     void tenLeadersInTwoMinutes(boolean outage, String shape) {
         SimulatedCluster w = new SimulatedCluster(5);
-        w.runS = 150;
+        w.taskDurationS = 150;
         for (int i = 1; i <= 6; i++) {
             submit(w, i, shape, 4);
         }
-        assertTrue(allStarted(w, 24));
+        assertTrue(runUntilStarted(w, 24));
         int[] terms = new int[1];
-        w.onLead.add(n -> terms[0]++);
+        w.onTermStart.add(n -> terms[0]++);
         for (int k = 0; k < 10; k++) {
-            w.in(12 * k + 1, () -> {
+            w.schedule(12 * k + 1, () -> {
                 if (w.leader() != null) {
                     w.leader().restartAfter(0.4);
                 }
             });
         }
         for (int i = 1; i <= 3; i++) {
-            String id = id(i);
+            String id = jobId(i);
             for (int q = 0; q < 20; q++) {
-                w.in(20 * i + q, () -> {
-                    SimulatedCluster.Node n = w.nodes.get(2);
-                    if (!w.cancelledAt.containsKey(id)) {
-                        n.askLater("abort", id, r -> n.users.abort(id, r), null);
+                w.schedule(20 * i + q, () -> {
+                    SimulatedCluster.ControllerProcess n = w.controllers.get(2);
+                    if (!w.cancelAcknowledgedAtS.containsKey(id)) {
+                        n.askAsync("abort", id, r -> n.users.cancel(id, r), null);
                     }
                 });
             }
         }
         if (outage) {
             for (double t : new double[] {18, 66}) {
-                w.in(t, () -> w.state.outage = true);
-                w.in(t + 16, () -> w.state.recover());
+                w.schedule(t, () -> w.stateService.outage = true);
+                w.schedule(t + 16, () -> w.stateService.recover());
             }
         }
-        w.run(125);
+        w.runFor(125);
         assertTrue(terms[0] >= (outage ? 7 : 9), () -> terms[0] + " terms");
-        w.runS = 5;
-        end(w, 250);
+        w.taskDurationS = 5;
+        assertSettles(w, 250);
     }
 
     /** A zone with machines and a controller, perhaps the leader, is cut off for longer than a lease. */
@@ -80,41 +80,42 @@
     void aZoneWithAControllerIsCutOff(boolean leaderInside, double forS, double cancelS, String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.zones = List.of("a", "b");
-        w.runS = 100;
+        w.taskDurationS = 100;
         for (int i = 1; i <= 4; i++) {
             submit(w, i, shape, 4);
         }
-        w.accept(id(5), 6, false, Map.of("site", "a"));
-        w.accept(id(6), 6, false, Map.of("site", "b", "oneZone", true));
-        assertTrue(allStarted(w, 28));
-        w.run(3);
-        SimulatedCluster.Node in = leaderInside ? w.leader() : other(w, w.leader());
-        in.inside = true;
+        w.submitUntilAccepted(jobId(5), 6, false, Map.of("site", "a"));
+        w.submitUntilAccepted(jobId(6), 6, false, Map.of("site", "b", "oneZone", true));
+        assertTrue(runUntilStarted(w, 28));
+        w.runFor(3);
+        SimulatedCluster.ControllerProcess in = leaderInside ? w.leader() : otherController(w, w.leader());
+        in.inIsolatedZone = true;
         assertTrue(w.workers.values().stream().anyMatch(k -> k.zone.equals("a")));
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.inside = k.zone.equals("a");
+            k.inIsolatedZone = k.zone.equals("a");
         }
-        SimulatedCluster.Node outside = other(w, in);
-        w.run(cancelS);
+        SimulatedCluster.ControllerProcess outside = otherController(w, in);
+        w.runFor(cancelS);
         for (int i : new int[] {1, 5}) {
-            w.until(
+            w.runUntil(
                     12,
-                    () -> "withdrawn".equals(String.valueOf(outside.abort(id(i)).get("status"))));
-            assertTrue(w.cancelledAt.containsKey(id(i)));
+                    () -> "withdrawn"
+                            .equals(String.valueOf(outside.cancel(jobId(i)).get("status"))));
+            assertTrue(w.cancelAcknowledgedAtS.containsKey(jobId(i)));
         }
-        w.run(forS);
-        in.inside = false;
+        w.runFor(forS);
+        in.inIsolatedZone = false;
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.inside = false;
+            k.inIsolatedZone = false;
         }
-        w.run(SimulatedCluster.CANCEL_S);
-        w.runS = 5;
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S);
+        w.taskDurationS = 5;
         for (int i : new int[] {2, 3, 4}) {
             if (shape.equals("service")) {
-                outside.abort(id(i));
+                outside.cancel(jobId(i));
             }
         }
-        end(w, 200);
+        assertSettles(w, 200);
     }
 
     /** Jobs bound to one zone, arrays too, lose machines, their zone fills up, and the leader changes. */
@@ -133,15 +134,23 @@
     void jobsBoundToOneZoneLoseMachines(String shape, String by, String how, boolean ends, boolean full) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.zones = List.of("a", "b");
-        w.runS = 80;
+        w.taskDurationS = 80;
         Map<String, Object> more = new HashMap<>(by.equals("site") ? Map.of("site", "a") : Map.of("oneZone", true));
         if (shape.equals("service")) {
             more.put("shape", "daemon");
         }
         for (int i = 1; i <= 4; i++) {
-            w.accept(id(i), 8, shape.equals("gang"), more);
-        }
-        assertTrue(w.until(60, () -> on(w, id(1)) + on(w, id(2)) + on(w, id(3)) + on(w, id(4)) == 32), "all run");
+            w.submitUntilAccepted(jobId(i), 8, shape.equals("gang"), more);
+        }
+        assertTrue(
+                w.runUntil(
+                        60,
+                        () -> activeTaskCount(w, jobId(1))
+                                        + activeTaskCount(w, jobId(2))
+                                        + activeTaskCount(w, jobId(3))
+                                        + activeTaskCount(w, jobId(4))
+                                == 32),
+                "all run");
         if (full) {
             for (String z : List.of("a", "b")) {
                 w.cloud.zoneCapacity.put(z, (int) w.workers.values().stream()
@@ -155,29 +164,29 @@
                 continue;
             }
             if (how.equals("die")) {
-                k.die();
+                k.crash();
             } else if (how.equals("cut")) {
-                k.cut = true;
-                w.in(24, () -> k.cut = false);
+                k.disconnected = true;
+                w.schedule(24, () -> k.disconnected = false);
             } else {
-                k.hangsUntil = w.now + 9.2;
+                k.hungUntilS = w.nowS + 9.2;
             }
         }
         if (ends) {
             w.leader().restartAfter(0.4);
         }
-        w.run(26);
-        w.runS = 5;
+        w.runFor(26);
+        w.taskDurationS = 5;
         if (shape.equals("service")) {
-            w.run(60);
+            w.runFor(60);
             for (int j = 1; j <= 4; j++) {
-                assertEquals(8, on(w, id(j)), "all replicas run again");
+                assertEquals(8, activeTaskCount(w, jobId(j)), "all replicas run again");
             }
             for (int j = 1; j <= 4; j++) {
-                w.nodes.get(0).abort(id(j));
+                w.controllers.get(0).cancel(jobId(j));
             }
         }
-        end(w, 250);
+        assertSettles(w, 250);
     }
 
     /** A job bound to one zone loses machines while only the other zone has room: it waits for its own. */
@@ -186,43 +195,43 @@
     void whatIsBoundToAZoneDoesNotGoWhereThereIsRoom(String shape, boolean ends) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.zones = List.of("a", "b");
-        w.runS = 120;
+        w.taskDurationS = 120;
         Map<String, Object> more = new HashMap<>(Map.of("oneZone", true));
         if (shape.equals("service")) {
             more.put("shape", "daemon");
         }
-        w.accept(id(1), 8, false, more);
-        assertTrue(w.until(60, () -> on(w, id(1)) == 8));
+        w.submitUntilAccepted(jobId(1), 8, false, more);
+        assertTrue(w.runUntil(60, () -> activeTaskCount(w, jobId(1)) == 8));
         String zone = w.workers.values().stream()
-                .filter(k -> !k.held().isEmpty())
+                .filter(k -> !k.activeTasks().isEmpty())
                 .findFirst()
                 .orElseThrow()
                 .zone;
         String elsewhere = zone.equals("a") ? "b" : "a";
         w.cloud.zoneCapacity.put(zone, 0);
-        w.worker(elsewhere);
-        w.worker(elsewhere);
-        w.run(6);
+        w.addMachine(elsewhere);
+        w.addMachine(elsewhere);
+        w.runFor(6);
         List<SimulatedCluster.Worker> there = w.workers.values().stream()
                 .filter(k -> k.zone.equals(zone))
-                .sorted(java.util.Comparator.comparingInt(k -> k.held().size()))
+                .sorted(java.util.Comparator.comparingInt(k -> k.activeTasks().size()))
                 .toList();
         for (SimulatedCluster.Worker k : there.subList(0, there.size() - 1)) {
-            k.die();
+            k.crash();
         }
         if (ends) {
             w.leader().restartAfter(0.4);
         }
-        w.run(14);
-        assertTrue(on(w, id(1)) <= 4, "room elsewhere is none for it");
+        w.runFor(14);
+        assertTrue(activeTaskCount(w, jobId(1)) <= 4, "room elsewhere is none for it");
         w.cloud.zoneCapacity.clear();
-        w.run(60);
+        w.runFor(60);
         if (shape.equals("service")) {
-            assertEquals(8, on(w, id(1)));
-            w.nodes.get(0).abort(id(1));
+            assertEquals(8, activeTaskCount(w, jobId(1)));
+            w.controllers.get(0).cancel(jobId(1));
         }
-        w.runS = 5;
-        end(w, 200);
+        w.taskDurationS = 5;
+        assertSettles(w, 200);
     }
 
     /** Workers that reach nobody while orders directly to them arrive, and the leader changes or jobs are cancelled. */
@@ -237,31 +246,31 @@
     })
     void workersThatReachNobodyButHearOrders(double forS, boolean ends, boolean cancelled, String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 60;
+        w.taskDurationS = 60;
         submit(w, 1, shape, 8);
         submit(w, 2, shape, 4);
-        assertTrue(allStarted(w, 12));
-        w.run(2);
+        assertTrue(runUntilStarted(w, 12));
+        w.runFor(2);
         List<SimulatedCluster.Worker> mute = new ArrayList<>(w.workers.values());
         for (SimulatedCluster.Worker k : mute) {
-            k.mute = true;
-            w.in(forS, () -> k.mute = false);
+            k.reportsBlocked = true;
+            w.schedule(forS, () -> k.reportsBlocked = false);
         }
-        w.run(0.5);
+        w.runFor(0.5);
         if (cancelled) {
-            assertEquals("withdrawn", w.nodes.get(0).abort(id(1)).get("status"));
+            assertEquals("withdrawn", w.controllers.get(0).cancel(jobId(1)).get("status"));
         }
         if (ends) {
             w.leader().restartAfter(0.3);
         }
         submit(w, 3, shape, 4); // starts may go directly to them
-        w.run(forS + 10);
+        w.runFor(forS + 10);
         if (shape.equals("service")) {
             for (int i = 1; i <= 3; i++) {
-                w.nodes.get(0).abort(id(i));
+                w.controllers.get(0).cancel(jobId(i));
             }
         }
-        end(w, 200);
+        assertSettles(w, 200);
     }
 
     /** All controllers are away for longer than a lease, and jobs are cancelled just before or just after. */
@@ -269,29 +278,30 @@
     @CsvSource({"12, true, array", "12, false, gang", "25, true, gang", "25, false, array", "12, true, service"})
     void allControllersAwayForLongerThanALease(double forS, boolean before, String shape) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 100;
+        w.taskDurationS = 100;
         for (int i = 1; i <= 3; i++) {
             submit(w, i, shape, 4);
         }
-        assertTrue(allStarted(w, 12));
-        w.run(3);
+        assertTrue(runUntilStarted(w, 12));
+        w.runFor(3);
         if (before) {
-            assertEquals("withdrawn", w.nodes.get(1).abort(id(1)).get("status"));
+            assertEquals("withdrawn", w.controllers.get(1).cancel(jobId(1)).get("status"));
         }
-        for (SimulatedCluster.Node n : w.nodes) {
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
             n.restartAfter(forS);
         }
-        w.run(forS + 0.1);
+        w.runFor(forS + 0.1);
         if (!before) {
-            assertTrue(w.until(
+            assertTrue(w.runUntil(
                     20,
                     () -> "withdrawn"
-                            .equals(String.valueOf(w.nodes.get(1).abort(id(1)).get("status")))));
+                            .equals(String.valueOf(
+                                    w.controllers.get(1).cancel(jobId(1)).get("status")))));
         }
-        w.run(SimulatedCluster.CANCEL_S + 1);
-        assertEquals(0, on(w, id(1)));
-        w.runS = 5;
-        end(w, 200);
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 1);
+        assertEquals(0, activeTaskCount(w, jobId(1)));
+        w.taskDurationS = 5;
+        assertSettles(w, 200);
     }
 
     /** More work than room, urgent and not, over slow links, while the leader ends. */
@@ -301,35 +311,35 @@
         SimulatedCluster w =
                 new SimulatedCluster(3, List.of(new Team("t", 0, 0, 0, 0, 1), new Team("u", 8, 0, 0, 0, 1)));
         w.cloud.capacity = 4;
-        w.runS = 45;
-        w.commandLateS = slowS;
-        w.state.slowS = slowS / 4;
+        w.taskDurationS = 45;
+        w.commandDelayS = slowS;
+        w.stateService.extraLatencyS = slowS / 4;
         for (int i = 1; i <= 4; i++) {
-            w.accept(id(i), 10, false, Map.of("urgency", "idle"));
+            w.submitUntilAccepted(jobId(i), 10, false, Map.of("urgency", "idle"));
         }
-        w.run(8);
+        w.runFor(8);
         for (int i = 11; i <= 14; i++) {
             Map<String, Object> more = new HashMap<>(Map.of("urgency", i % 2 == 0 ? "prod" : "high", "crew", "u"));
             if (i % 2 == 0) {
                 more.put("shape", "daemon");
             }
-            w.accept(id(i), 6, false, more);
+            w.submitUntilAccepted(jobId(i), 6, false, more);
         }
-        w.run(4);
+        w.runFor(4);
         if (ends) {
             w.leader().restartAfter(2);
         }
-        w.run(20);
+        w.runFor(20);
         for (int i = 12; i <= 14; i += 2) {
-            assertEquals(6, on(w, id(i)), "what is urgent has taken the place of what is not");
+            assertEquals(6, activeTaskCount(w, jobId(i)), "what is urgent has taken the place of what is not");
         }
-        w.commandLateS = 0;
-        w.state.slowS = 0;
-        w.runS = 6;
+        w.commandDelayS = 0;
+        w.stateService.extraLatencyS = 0;
+        w.taskDurationS = 6;
         for (int i = 12; i <= 14; i += 2) {
-            w.nodes.get(0).abort(id(i));
+            w.controllers.get(0).cancel(jobId(i));
         }
-        end(w, 250);
+        assertSettles(w, 250);
     }
 
     /** Bad input is answered the same under faults as on a quiet day: never stored, and what was accepted stays so. */
@@ -337,50 +347,50 @@
     @ValueSource(strings = {"new leader", "leader refused", "outage", "lost answers", "late writes"})
     void oddRequestsAmidFaults(String fault) {
         SimulatedCluster w = new SimulatedCluster(3, List.of(new Team("t", 0, 40, 0, 0, 1)));
-        w.runS = 3;
-        w.accept(id(1), 3, false);
-        assertTrue(w.until(60, () -> "done".equals(w.status(id(1), 5))));
-        w.runS = 60;
-        w.accept(id(2), 3, false);
-        w.run(2);
-        SimulatedCluster.Node l = w.leader();
+        w.taskDurationS = 3;
+        w.submitUntilAccepted(jobId(1), 3, false);
+        assertTrue(w.runUntil(60, () -> "done".equals(w.pollStatus(jobId(1), 5))));
+        w.taskDurationS = 60;
+        w.submitUntilAccepted(jobId(2), 3, false);
+        w.runFor(2);
+        SimulatedCluster.ControllerProcess l = w.leader();
         switch (fault) {
             case "new leader" -> l.restartAfter(0.3);
-            case "leader refused" -> l.link = StateStandIn.Link.REFUSED;
-            case "outage" -> w.state.outage = true;
-            case "lost answers" -> w.nodes.forEach(n -> n.link = StateStandIn.Link.UNHEARD);
-            default -> w.nodes.forEach(n -> n.link = StateStandIn.Link.LATE);
+            case "leader refused" -> l.stateLink = FakeStateService.Link.REFUSED;
+            case "outage" -> w.stateService.outage = true;
+            case "lost answers" -> w.controllers.forEach(n -> n.stateLink = FakeStateService.Link.RESPONSES_LOST);
+            default -> w.controllers.forEach(n -> n.stateLink = FakeStateService.Link.WRITES_DELAYED);
         }
         for (int round = 0; round < 5; round++) {
-            for (SimulatedCluster.Node n : w.nodes) {
+            for (SimulatedCluster.ControllerProcess n : w.controllers) {
                 Map<String, Object> missing = new HashMap<>();
                 missing.put("urgency", null);
-                among(n.submit(id(10), 3, false, missing), 400, 503);
-                among(n.submit(id(11), 3, false, Map.of("vcpus", 5.0)), 422, 503);
-                among(n.submit(id(12), 41, true), 422, 503);
-                among(n.submit(id(13), 3, false, Map.of("crew", "nobody")), 422, 503);
-                among(n.submit(id(2), 3, false, Map.of("vcpus", -1.0)), 200, 503);
-                among(n.submit(id(2), 3, false, missing), 200, 503);
-                among(n.poll(id(14)), 404, 503);
-                among(n.abort(id(14)), 404, 503);
-                Map<String, Object> a = n.abort(id(1));
+                among(n.submit(jobId(10), 3, false, missing), 400, 503);
+                among(n.submit(jobId(11), 3, false, Map.of("vcpus", 5.0)), 422, 503);
+                among(n.submit(jobId(12), 41, true), 422, 503);
+                among(n.submit(jobId(13), 3, false, Map.of("crew", "nobody")), 422, 503);
+                among(n.submit(jobId(2), 3, false, Map.of("vcpus", -1.0)), 200, 503);
+                among(n.submit(jobId(2), 3, false, missing), 200, 503);
+                among(n.poll(jobId(14)), 404, 503);
+                among(n.cancel(jobId(14)), 404, 503);
+                Map<String, Object> a = n.cancel(jobId(1));
                 if (a != null && (int) a.get("code") == 200) {
                     assertEquals("done", a.get("status"));
                 }
             }
-            w.run(0.7);
+            w.runFor(0.7);
         }
-        for (SimulatedCluster.Node n : w.nodes) {
-            n.link = StateStandIn.Link.GOOD;
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
+            n.stateLink = FakeStateService.Link.HEALTHY;
         }
-        w.state.recover();
-        w.run(5);
+        w.stateService.recover();
+        w.runFor(5);
         for (int i = 10; i <= 14; i++) {
-            assertEquals(null, w.state.value("j/" + id(i)));
-            assertEquals(null, w.state.value("f/" + id(i)));
+            assertEquals(null, w.stateService.value("j/" + jobId(i)));
+            assertEquals(null, w.stateService.value("f/" + jobId(i)));
         }
-        w.runS = 5;
-        end(w, 100);
+        w.taskDurationS = 5;
+        assertSettles(w, 100);
     }
 
     private static void among(Map<String, Object> answer, int... codes) {
--- a/src/test/java/org/mountlug/node/PausedControllerTest.java
+++ b/src/test/java/org/mountlug/node/PausedControllerTest.java
@@ -26,43 +26,44 @@
     @CsvSource({"true, 8", "true, 65", "true, 130", "false, 8", "false, 65", "false, 130"})
     void staleRequestsAreShedOnReturn(boolean leader, double pauseS) {
         SimulatedCluster world = new SimulatedCluster(3);
-        world.runS = 3;
-        world.accept(id(1), 4, false);
-        world.accept(id(2), 40, false);
-        assertTrue(world.until(60, () -> world.runs(id(2))));
-        SimulatedCluster.Node paused = leader
+        world.taskDurationS = 3;
+        world.submitUntilAccepted(id(1), 4, false);
+        world.submitUntilAccepted(id(2), 40, false);
+        assertTrue(world.runUntil(60, () -> world.isRunning(id(2))));
+        SimulatedCluster.ControllerProcess paused = leader
                 ? world.leader()
-                : world.nodes.stream()
+                : world.controllers.stream()
                         .filter(n -> n != world.leader())
                         .findFirst()
                         .orElseThrow();
         assertEquals(200, paused.poll(id(1)).get("code"));
-        paused.freeze(pauseS);
-        double until = world.now + pauseS;
+        paused.pause(pauseS);
+        double until = world.nowS + pauseS;
         List<Map<String, Object>> answers = new ArrayList<>();
         List<Double> times = new ArrayList<>();
         java.util.function.Consumer<Map<String, Object>> note = answer -> {
             answers.add(answer);
-            times.add(world.now);
+            times.add(world.nowS);
         };
-        world.in(1, () -> {
-            paused.askThroughSocket("poll", id(1), r -> paused.users.poll(id(1), r), note);
-            paused.askThroughSocket("abort", id(2), r -> paused.users.abort(id(2), r), note);
-            paused.askThroughSocket("submission", null, r -> paused.users.submit(world.submission(id(3), 2), r), note);
+        world.schedule(1, () -> {
+            paused.askAsyncThroughSocket("poll", id(1), r -> paused.users.poll(id(1), r), note);
+            paused.askAsyncThroughSocket("abort", id(2), r -> paused.users.cancel(id(2), r), note);
+            paused.askAsyncThroughSocket(
+                    "submission", null, r -> paused.users.submit(world.newSubmission(id(3), 2), r), note);
         });
-        world.run(pauseS + 0.1);
+        world.runFor(pauseS + 0.1);
         assertEquals(3, answers.size());
         for (int i = 0; i < 3; i++) {
             assertEquals(503, answers.get(i).get("code"));
             assertTrue(times.get(i) < until + 0.01, "at once");
         }
-        assertNull(world.state.value("j/" + id(3)), "what nobody waits for any more is not taken in");
-        world.run(2);
+        assertNull(world.stateService.value("j/" + id(3)), "what nobody waits for any more is not taken in");
+        world.runFor(2);
         assertEquals("done", paused.poll(id(1)).get("status"));
         assertNotEquals("withdrawn", paused.poll(id(2)).get("status"));
         assertEquals(201, paused.submit(id(3), 2, false).get("code"));
-        world.settle(200);
-        assertEquals(List.of(), world.broken());
+        world.runUntilSettled(200);
+        assertEquals(List.of(), world.violations());
     }
 
     /**
@@ -82,35 +83,36 @@
     })
     void aLeaderPausedForAMinuteDoesNoHarm(String at, double pauseS, boolean cancelled) {
         SimulatedCluster world = new SimulatedCluster(3);
-        world.runS = 40;
-        world.accept(id(1), 12, false);
-        world.accept(id(2), 4, true);
-        assertTrue(world.until(60, () -> world.runs(id(1))));
-        SimulatedCluster.Node old = world.leader();
+        world.taskDurationS = 40;
+        world.submitUntilAccepted(id(1), 12, false);
+        world.submitUntilAccepted(id(2), 4, true);
+        assertTrue(world.runUntil(60, () -> world.isRunning(id(1))));
+        SimulatedCluster.ControllerProcess old = world.leader();
         long token = old.token();
         if (at.equals("any time")) {
-            old.freeze(pauseS);
+            old.pause(pauseS);
         } else {
-            old.freezeAt = at;
-            old.freezeForS = pauseS;
+            old.pauseBeforePath = at;
+            old.pauseDurationS = pauseS;
         }
-        SimulatedCluster.Node other =
-                world.nodes.stream().filter(n -> n != old).findFirst().orElseThrow();
+        SimulatedCluster.ControllerProcess other =
+                world.controllers.stream().filter(n -> n != old).findFirst().orElseThrow();
         other.submit(id(3), 30, false);
         other.submit(id(4), 4, true);
         if (!at.equals("any time")) {
-            assertTrue(world.until(20, () -> old.frozenUntil > world.now), "it stands still");
+            assertTrue(world.runUntil(20, () -> old.pausedUntilS > world.nowS), "it stands still");
         }
-        assertTrue(world.until(6, () -> world.leader() != null && world.leader().token() > token), "another leads");
+        assertTrue(
+                world.runUntil(6, () -> world.leader() != null && world.leader().token() > token), "another leads");
         assertNotNull(world.leader());
         if (cancelled) {
-            assertTrue(world.until(
+            assertTrue(world.runUntil(
                     30,
-                    () -> "withdrawn".equals(String.valueOf(other.abort(id(1)).get("status")))));
+                    () -> "withdrawn".equals(String.valueOf(other.cancel(id(1)).get("status")))));
         }
-        world.run(pauseS + 5);
+        world.runFor(pauseS + 5);
         assertTrue(world.leader() != old || world.leader().token() > token, "the old term is over");
-        world.settle(200);
-        assertEquals(List.of(), world.broken());
+        world.runUntilSettled(200);
+        assertEquals(List.of(), world.violations());
     }
 }
--- a/src/test/java/org/mountlug/node/ReportCountTest.java
+++ b/src/test/java/org/mountlug/node/ReportCounterTest.java
@@ -6,19 +6,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Reports within the last seconds, whatever gaps lie between. */
-class ReportCountTest {
+class ReportCounterTest {
     @ParameterizedTest(name = "asked at {0}: {1}")
     @CsvSource({"100, 10", "103, 15", "106, 15", "107, 5", "110, 0", "500, 0"})
     void onlyTheLatestCount(double at, int reports) {
-        ReportCount c = new ReportCount(6);
+        ReportCounter c = new ReportCounter(6);
         for (int i = 0; i < 10; i++) {
-            c.add(100);
+            c.recordReport(100);
         }
         if (at >= 103) {
             for (int i = 0; i < 5; i++) {
-                c.add(103);
+                c.recordReport(103);
             }
         }
-        assertEquals(reports, c.lately(at));
+        assertEquals(reports, c.recentCount(at));
     }
 }
--- a/src/test/java/org/mountlug/node/SeededFaultsTest.java
+++ b/src/test/java/org/mountlug/node/SeededFaultsTest.java
@@ -39,10 +39,12 @@
     private static InjectedFault draw(SplittableRandom r, boolean newer, boolean first) {
         int kinds = InjectedFault.values().length;
         if (!newer) {
-            return InjectedFault.values()[r.nextInt(InjectedFault.EARLIER)];
+            return InjectedFault.values()[r.nextInt(InjectedFault.ORIGINAL_COUNT)];
         }
         return InjectedFault.values()[
-                first ? InjectedFault.EARLIER + r.nextInt(kinds - InjectedFault.EARLIER) : r.nextInt(kinds)];
+                first
+                        ? InjectedFault.ORIGINAL_COUNT + r.nextInt(kinds - InjectedFault.ORIGINAL_COUNT)
+                        : r.nextInt(kinds)];
     }
 
     private static void play(long seed, boolean newer) {
@@ -52,11 +54,11 @@
                 List.of(new Team("t", 0, 40, 0, 0, 1), new Team("u", 8, 16, 0, 0, 1), new Team("guest", 0, 0, 0, 0, 1)),
                 r.nextBoolean() ? 10 : 16);
         w.cloud.zones = r.nextBoolean() ? List.of("a") : List.of("a", "b");
-        w.bootS = 0.5 + r.nextDouble() * 3;
+        w.machineBootS = 0.5 + r.nextDouble() * 3;
         w.cloud.listLagS = r.nextDouble() * 15;
         w.cloud.capacity = 16 + r.nextInt(20);
-        w.runS = 4 + r.nextInt(40);
-        w.run(5);
+        w.taskDurationS = 4 + r.nextInt(40);
+        w.runFor(5);
         // Work comes all the time, and some of it is cancelled soon.
         double spanS = 50;
         for (int i = 1; i <= 26; i++) {
@@ -69,16 +71,16 @@
                     : kind == 1
                             ? Map.of("crew", "u")
                             : kind == 2 ? Map.of("site", "a") : kind == 3 ? Map.of("oneZone", true) : Map.of();
-            SimulatedCluster.Node n = w.nodes.get(r.nextInt(w.nodes.size()));
+            SimulatedCluster.ControllerProcess n = w.controllers.get(r.nextInt(w.controllers.size()));
             for (double again = 0; again < 12; again += 3) {
-                w.in(at + again, () -> {
-                    if (!w.accepted().contains(id)) {
-                        n.send(id, tasks, kind == 4 || kind == 5, more);
+                w.schedule(at + again, () -> {
+                    if (!w.acceptedJobs().contains(id)) {
+                        n.submitAsync(id, tasks, kind == 4 || kind == 5, more);
                     }
                 });
             }
             if (r.nextInt(3) == 0) {
-                InjectedFault.cancel(w, id, at + r.nextDouble() * 14, r.nextInt(w.nodes.size()));
+                InjectedFault.scheduleCancellation(w, id, at + r.nextDouble() * 14, r.nextInt(w.controllers.size()));
             }
         }
         int faults = 2 + r.nextInt(3);
@@ -96,20 +98,20 @@
                     };
             long mine = r.nextLong();
             double start = at;
-            w.in(start, () -> f.begin(InjectedFault.Scene.of(w, forS, new SplittableRandom(mine))));
+            w.schedule(start, () -> f.inject(InjectedFault.FaultContext.of(w, forS, new SplittableRandom(mine))));
             what.append(String.format("%s at %.2f for %.2f; ", f, at, forS));
-            lastS = Math.max(lastS, at + f.lastsS(forS));
+            lastS = Math.max(lastS, at + f.durationS(forS));
             // The next begins before this one is over, sometimes within milliseconds.
             at += r.nextInt(3) == 0 ? r.nextDouble() * 0.02 : r.nextDouble() * Math.min(forS, 14);
         }
-        w.run(Math.max(spanS + 15, lastS + 3));
-        w.runS = 5;
-        for (String id : w.accepted()) {
-            if (w.services.contains(id) || w.faulty.contains(id)) {
-                InjectedFault.cancel(w, id, 60, 0);
+        w.runFor(Math.max(spanS + 15, lastS + 3));
+        w.taskDurationS = 5;
+        for (String id : w.acceptedJobs()) {
+            if (w.services.contains(id) || w.failingJobs.contains(id)) {
+                InjectedFault.scheduleCancellation(w, id, 60, 0);
             }
         }
-        w.settle(260);
-        assertEquals(List.of(), w.broken(), () -> "seed " + seed + ": " + what);
+        w.runUntilSettled(260);
+        assertEquals(List.of(), w.violations(), () -> "seed " + seed + ": " + what);
     }
 }
--- a/src/test/java/org/mountlug/node/ServicesTest.java
+++ b/src/test/java/org/mountlug/node/ServicesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.mountlug.core.model.Cause;
+import org.mountlug.core.model.ExitCause;
 
 /** Services: they come back after every kind of loss, run until called off, and are gone soon after. */
 class ServicesTest {
@@ -22,12 +22,12 @@
     private static Set<String> running(SimulatedCluster w) {
         Set<String> tasks = new HashSet<>();
         for (SimulatedCluster.Worker x : w.workers.values()) {
-            if (x.gone) {
+            if (x.terminated) {
                 continue;
             }
             for (SimulatedCluster.Task t : x.tasks.values()) {
-                if (t.job.equals(S) && t.state == org.mountlug.core.model.TaskState.RUNNING) {
-                    tasks.add(t.job + "/" + t.index);
+                if (t.jobId.equals(S) && t.state == org.mountlug.core.model.AttemptState.RUNNING) {
+                    tasks.add(t.jobId + "/" + t.index);
                 }
             }
         }
@@ -36,14 +36,14 @@
 
     private static SimulatedCluster serving(int replicas) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.accept(S, replicas, false, SERVICE);
-        assertTrue(w.until(40, () -> running(w).size() == replicas));
+        w.submitUntilAccepted(S, replicas, false, SERVICE);
+        assertTrue(w.runUntil(40, () -> running(w).size() == replicas));
         return w;
     }
 
     private static SimulatedCluster.Worker holder(SimulatedCluster w) {
         return w.workers.values().stream()
-                .filter(x -> x.tasks.values().stream().anyMatch(t -> t.job.equals(S)))
+                .filter(x -> x.tasks.values().stream().anyMatch(t -> t.jobId.equals(S)))
                 .findFirst()
                 .orElseThrow();
     }
@@ -67,39 +67,39 @@
         SimulatedCluster.Worker first = holder(w);
         switch (loss) {
             case "done", "stopped", "error" -> {
-                w.replicasEnd = Cause.valueOf(loss.toUpperCase());
-                assertTrue(w.until(30, () -> running(w).size() < 6));
-                w.replicasEnd = null;
+                w.replicaExitCause = ExitCause.valueOf(loss.toUpperCase());
+                assertTrue(w.runUntil(30, () -> running(w).size() < 6));
+                w.replicaExitCause = null;
             }
-            case "machine dies" -> first.die();
-            case "machine cut" -> first.cut = true;
-            case "machine sick" -> first.sick = true;
+            case "machine dies" -> first.crash();
+            case "machine cut" -> first.disconnected = true;
+            case "machine sick" -> first.failsAllTasks = true;
             case "leader ends" -> w.leader().restartAfter(6);
-            case "all end" -> w.nodes.forEach(n -> n.restartAfter(1));
-            case "all end for longer than a lease" -> w.nodes.forEach(n -> n.restartAfter(14));
+            case "all end" -> w.controllers.forEach(n -> n.restartAfter(1));
+            case "all end for longer than a lease" -> w.controllers.forEach(n -> n.restartAfter(14));
             default -> {
-                w.state.outage = true;
-                w.in(15, w.state::recover);
+                w.stateService.outage = true;
+                w.schedule(15, w.stateService::recover);
             }
         }
-        w.run(2);
+        w.runFor(2);
         // A machine that cannot be reached may go on for its lease; what it runs is not what counts.
         assertTrue(
-                w.until(
+                w.runUntil(
                         within,
                         () -> running(w).size() == 6
-                                && (!loss.startsWith("machine") || first.tasks.isEmpty() || first.gone)),
+                                && (!loss.startsWith("machine") || first.tasks.isEmpty() || first.terminated)),
                 () -> running(w) + " run after " + loss);
-        assertTrue(w.until(8, () -> "running".equals(w.status(S, 5))));
-        assertEquals(List.of(), w.broken());
+        assertTrue(w.runUntil(8, () -> "running".equals(w.pollStatus(S, 5))));
+        assertEquals(List.of(), w.violations());
     }
 
     /** Its user is told how many replicas run. */
     @Test
     void theNumberOfRunningReplicasIsTold() {
         SimulatedCluster w = serving(6);
-        assertTrue(w.until(10, () -> {
-            Map<String, Object> a = w.nodes.get(1).poll(S);
+        assertTrue(w.runUntil(10, () -> {
+            Map<String, Object> a = w.controllers.get(1).poll(S);
             return a != null && Integer.valueOf(6).equals(a.get("running")) && "running".equals(a.get("status"));
         }));
     }
@@ -108,15 +108,15 @@
     @Test
     void endingAtOnceAgainAndAgainIsSlowed() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.faulty.add(S);
-        w.accept(S, 2, false, SERVICE);
-        w.accept("wk-000002", 8, false);
-        assertTrue(w.until(60, () -> w.status("wk-000002", 5).equals("done")));
-        w.run(60);
-        int starts = w.workers.values().stream().mapToInt(x -> x.starts).sum();
+        w.failingJobs.add(S);
+        w.submitUntilAccepted(S, 2, false, SERVICE);
+        w.submitUntilAccepted("wk-000002", 8, false);
+        assertTrue(w.runUntil(60, () -> w.pollStatus("wk-000002", 5).equals("done")));
+        w.runFor(60);
+        int starts = w.workers.values().stream().mapToInt(x -> x.startCount).sum();
         assertTrue(starts < 40, starts + " starts");
-        assertTrue(List.of("pending", "running").contains(w.status(S, 5)));
-        assertEquals(List.of(), w.broken());
+        assertTrue(List.of("pending", "running").contains(w.pollStatus(S, 5)));
+        assertEquals(List.of(), w.violations());
     }
 
     /** Called off in the middle of anything, it is withdrawn, gone in time, and stays so. */
@@ -124,34 +124,34 @@
     @ValueSource(strings = {"quiet", "restart", "machine dies", "machine cut", "leader ends", "all end", "twice"})
     void aServiceIsCalledOff(String amid) {
         SimulatedCluster w = serving(6);
-        SimulatedCluster.Node asked =
-                w.nodes.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
+        SimulatedCluster.ControllerProcess asked =
+                w.controllers.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
         switch (amid) {
             case "restart" -> {
-                w.replicasEnd = Cause.ERROR;
-                assertTrue(w.until(30, () -> running(w).size() < 6));
+                w.replicaExitCause = ExitCause.ERROR;
+                assertTrue(w.runUntil(30, () -> running(w).size() < 6));
             }
-            case "machine dies" -> holder(w).die();
-            case "machine cut" -> holder(w).cut = true;
+            case "machine dies" -> holder(w).crash();
+            case "machine cut" -> holder(w).disconnected = true;
             case "leader ends" -> w.leader().restartAfter(6);
-            case "all end" -> w.nodes.forEach(n -> n.restartAfter(0.5));
+            case "all end" -> w.controllers.forEach(n -> n.restartAfter(0.5));
             default -> {}
         }
         if (amid.equals("all end")) {
-            w.run(2);
+            w.runFor(2);
         }
-        assertTrue(w.until(20, () -> {
-            Map<String, Object> a = asked.abort(S);
+        assertTrue(w.runUntil(20, () -> {
+            Map<String, Object> a = asked.cancel(S);
             return a != null && "withdrawn".equals(a.get("status"));
         }));
         if (amid.equals("twice")) {
-            w.nodes.forEach(n -> n.abort(S));
+            w.controllers.forEach(n -> n.cancel(S));
         }
-        w.run(SimulatedCluster.CANCEL_S);
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S);
         assertEquals(Set.of(), running(w));
-        assertEquals("withdrawn", w.status(S, 75));
-        w.run(30);
+        assertEquals("withdrawn", w.pollStatus(S, 75));
+        w.runFor(30);
         assertEquals(Set.of(), running(w));
-        assertEquals(List.of(), w.broken());
+        assertEquals(List.of(), w.violations());
     }
 }
