--- a/src/test/java/org/mountlug/node/SimulatedCluster.java
+++ b/src/test/java/org/mountlug/node/SimulatedCluster.java
@@ -10,35 +10,35 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.mountlug.Constants;
-import org.mountlug.api.UserAnswerCodec;
-import org.mountlug.api.Users;
-import org.mountlug.core.model.Cause;
-import org.mountlug.core.model.Order;
+import org.mountlug.api.UserRequestHandler;
+import org.mountlug.api.UserResponseCodec;
+import org.mountlug.core.model.AttemptState;
+import org.mountlug.core.model.Command;
+import org.mountlug.core.model.ExitCause;
 import org.mountlug.core.model.Report;
-import org.mountlug.core.model.TaskState;
 import org.mountlug.core.model.Team;
-import org.mountlug.peer.Peers;
-import org.mountlug.settings.Operators;
+import org.mountlug.peer.PeerConnections;
+import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
 import org.mountlug.store.StateClient;
-import org.mountlug.wire.Calls;
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.HttpTransport;
+import org.mountlug.wire.PooledHttpClient;
 
 /**
  * Controllers without sockets, a state service, a cloud and workers in memory, under a clock that the test drives. The
- * workers check the rules as they go: {@link #broken} collects what must never happen.
+ * workers check the rules as they go: {@link #violations} collects what must never happen.
  */
 final class SimulatedCluster {
     /** Seconds of a worker's lease. */
-    final double leaseS;
+    final double workerLeaseS;
 
-    static final double CANCEL_S = 30;
+    static final double CANCEL_DEADLINE_S = 30;
     /** Milliseconds by which a controller's time of day may differ from the true one. */
-    static final long SKEW_MS = 25;
+    static final long MAX_CLOCK_SKEW_MS = 25;
 
-    static final Map<String, Object> TYPE = Map.of(
+    static final Map<String, Object> MACHINE_TYPE = Map.of(
             "name",
             "small",
             "vcpus",
@@ -59,77 +59,77 @@
             5.0,
             "sites",
             List.of("a"));
-    static final double TYPE_CPUS = 4;
+    static final double MACHINE_CPUS = 4;
     /** Seconds within which each job must be answered about once troubles are over. */
     static final double ANSWERED_S = 75;
     /** Seconds for which a job may wait, once troubles are over, while a machine has room for it. */
     static final double BESIDE_ROOM_S = 90;
 
-    double now = 1000;
+    double nowS = 1000;
     /** The limits of the state service that the controllers are told; the value's is the one to come. */
     double leastValueKb = 8;
 
     int txnOps = 8;
-    private final Operators operators;
+    private final OperatorSettings operators;
     private long order;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<String> broken = new ArrayList<>();
-    final StateStandIn state;
-    final List<Node> nodes = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
+    final FakeStateService stateService;
+    final List<ControllerProcess> controllers = new ArrayList<>();
     final Map<String, Worker> workers = new TreeMap<>();
     /** When each job's user was told that it is cancelled. */
-    final Map<String, Double> cancelledAt = new HashMap<>();
+    final Map<String, Double> cancelAcknowledgedAtS = new HashMap<>();
 
     final Map<String, Integer> sizes = new HashMap<>();
     final Map<String, Boolean> gangs = new HashMap<>();
     private final Map<String, byte[]> bodies = new HashMap<>();
     /** Run time of every task, seconds. */
-    double runS = 4;
+    double taskDurationS = 4;
 
-    final CloudStandIn cloud = new CloudStandIn(this);
+    final FakeCloud cloud = new FakeCloud(this);
     /** Jobs that were submitted with a mistake: their tasks fail everywhere. */
-    final java.util.Set<String> faulty = new java.util.HashSet<>();
+    final java.util.Set<String> failingJobs = new java.util.HashSet<>();
     /** How workers report, if not to the controllers of this cluster. */
-    Consumer<Worker> reporting;
+    Consumer<Worker> reportSender;
 
     /** A start as it took effect on a machine. */
-    record Start(double at, String job, int index, String zone, String machine) {}
+    record TaskStart(double atS, String jobId, int taskIndex, String zone, String machine) {}
 
     /** All starts, in order. */
-    final List<Start> startLog = new ArrayList<>();
+    final List<TaskStart> startLog = new ArrayList<>();
     /** How many tasks of each job were started, on any machine. */
-    final Map<String, Integer> startsOf = new HashMap<>();
+    final Map<String, Integer> startsByJob = new HashMap<>();
     /** Services, whose replicas run until they are stopped. */
     final java.util.Set<String> services = new java.util.HashSet<>();
     /** How the next so many seconds-old replicas of a service end by themselves, if they do. */
-    Cause replicasEnd;
+    ExitCause replicaExitCause;
 
     /** Whether a filter refuses connections between controllers. */
-    boolean peersRefuse;
+    boolean peersRefuseConnections;
     /** Seconds by which orders sent directly to workers come late, their answers lost. */
-    double commandLateS;
+    double commandDelayS;
     /** Orders sent directly to workers that hear nothing, to be delivered late. */
     final List<Runnable> heldCommands = new ArrayList<>();
 
-    int rented;
+    int machinesRented;
     /** The longest time after a told cancellation at which a start took effect; negative if none did. */
-    double latestStartS = -1;
+    double latestStartAfterCancelS = -1;
 
     /** Seconds from a rental until its machine is up. */
-    double bootS = 2;
+    double machineBootS = 2;
     /** Times that machines rented now take to boot. */
-    double bootFactor = 1;
+    double bootSlowdownFactor = 1;
     /** Of how many machines rented now one never comes up; none if 0. */
-    int neverBootsEvery;
+    int everyNthNeverBoots;
 
     private final Map<String, Team> teams = new HashMap<>();
     private final Map<String, Asked> asked = new LinkedHashMap<>();
     /** Run when a node begins a term, before anything else reaches it. */
-    final List<Consumer<Node>> onLead = new ArrayList<>();
+    final List<Consumer<ControllerProcess>> onTermStart = new ArrayList<>();
 
     private long highestToken;
     /** Most that any team with a limit has used of it, as a share; shows that a test had a team at its limit. */
-    double fullest;
+    double peakTeamLimitShare;
 
     private static final Asked NOBODY = new Asked();
 
@@ -160,47 +160,48 @@
         }
     }
 
-    SimulatedCluster(int controllers) {
-        this(controllers, List.of(new Team("t", 0, 0, 0, 0, 1)));
+    SimulatedCluster(int controllerCount) {
+        this(controllerCount, List.of(new Team("t", 0, 0, 0, 0, 1)));
     }
 
-    SimulatedCluster(int controllers, List<Team> teams) {
-        this(controllers, teams, 10);
+    SimulatedCluster(int controllerCount, List<Team> teams) {
+        this(controllerCount, teams, 10);
     }
 
-    SimulatedCluster(int controllers, List<Team> teams, double leaseS) {
-        this(controllers, teams, leaseS, false, 8, 8);
+    SimulatedCluster(int controllerCount, List<Team> teams, double leaseS) {
+        this(controllerCount, teams, leaseS, false, 8, 8);
     }
 
-    /** @param old whether the controllers begin with the version in production, as far as data decides it */
-    SimulatedCluster(int controllers, List<Team> teams, double leaseS, boolean old, double leastValueKb, int txnOps) {
-        this(controllers, teams, leaseS, old, leastValueKb, txnOps, Operators.defaults());
+    /** @param oldVersion whether the controllers begin with the version in production, as far as data decides it */
+    SimulatedCluster(
+            int controllerCount, List<Team> teams, double leaseS, boolean oldVersion, double leastValueKb, int txnOps) {
+        this(controllerCount, teams, leaseS, oldVersion, leastValueKb, txnOps, OperatorSettings.defaults());
     }
 
     SimulatedCluster(
-            int controllers,
+            int controllerCount,
             List<Team> teams,
             double leaseS,
-            boolean old,
+            boolean oldVersion,
             double leastValueKb,
             int txnOps,
-            Operators operators) {
-        this.leaseS = leaseS;
+            OperatorSettings operators) {
+        this.workerLeaseS = leaseS;
         this.operators = operators;
         this.leastValueKb = leastValueKb;
         this.txnOps = txnOps;
-        state = new StateStandIn(this, 8, 8);
+        stateService = new FakeStateService(this, 8, 8);
         for (Team t : teams) {
             this.teams.put(t.name(), t);
         }
-        for (int i = 0; i < controllers; i++) {
-            nodes.add(new Node("c-" + i, controllers, teams));
-            nodes.get(i).old = old;
+        for (int i = 0; i < controllerCount; i++) {
+            controllers.add(new ControllerProcess("c-" + i, controllerCount, teams));
+            controllers.get(i).oldVersion = oldVersion;
         }
-        for (Node n : nodes) {
-            n.boot();
+        for (ControllerProcess n : controllers) {
+            n.start();
         }
-        in(0.1, this::look);
+        schedule(0.1, this::look);
     }
 
     // ---- what must hold at any time ---------------------------------------------------------------------------
@@ -208,33 +209,33 @@
     /** Looks at all machines ten times a second, as a hung one says nothing of itself. */
     private void look() {
         for (Worker w : workers.values()) {
-            for (Task t : w.held()) {
-                Double c = cancelledAt.get(t.job);
-                if (c != null && now > c + CANCEL_S) {
-                    broken("ran_cancelled: " + t.job + "/" + t.index + " on " + w.name + " " + Math.round(now - c)
-                            + " s after");
-                    cancelledAt.put(t.job, Double.POSITIVE_INFINITY); // said once
+            for (Task t : w.activeTasks()) {
+                Double c = cancelAcknowledgedAtS.get(t.jobId);
+                if (c != null && nowS > c + CANCEL_DEADLINE_S) {
+                    recordViolation("ran_cancelled: " + t.jobId + "/" + t.index + " on " + w.name + " "
+                            + Math.round(nowS - c) + " s after");
+                    cancelAcknowledgedAtS.put(t.jobId, Double.POSITIVE_INFINITY); // said once
                 }
             }
         }
         for (Team t : teams.values()) {
-            if (t.cpusMax() <= 0) {
+            if (t.maxCpus() <= 0) {
                 continue;
             }
-            double used = used(t.name());
-            fullest = Math.max(fullest, used / t.cpusMax());
-            if (used > t.cpusMax() + 1e-6) {
-                broken("quota: " + t.name() + " uses " + used);
+            double used = usedCpus(t.name());
+            peakTeamLimitShare = Math.max(peakTeamLimitShare, used / t.maxCpus());
+            if (used > t.maxCpus() + 1e-6) {
+                recordViolation("quota: " + t.name() + " uses " + used);
             }
         }
-        in(0.1, this::look);
+        schedule(0.1, this::look);
     }
 
-    double used(String team) {
+    double usedCpus(String team) {
         double n = 0;
         for (Worker w : workers.values()) {
-            for (Task t : w.held()) {
-                Asked a = asked.get(t.job);
+            for (Task t : w.activeTasks()) {
+                Asked a = asked.get(t.jobId);
                 if (a != null && a.team.equals(team)) {
                     n += a.cpus;
                 }
@@ -247,7 +248,7 @@
      * An answer has been sent: after that, no question about the job may be answered with anything older, whoever is
      * asked. Unknown comes before pending and running, and both before done or withdrawn, which stay as they are.
      */
-    void told(String id, double askedAt, String question, int code, Map<String, Object> body) {
+    void checkResponse(String id, double askedAt, String question, int code, Map<String, Object> body) {
         if (code == 429 || code == 503) {
             return;
         }
@@ -255,16 +256,16 @@
         String status = code == 200 || code == 201 ? String.valueOf(body.get("status")) : null;
         int rank = status == null ? 0 : status.equals("done") || status.equals("withdrawn") ? 2 : 1;
         if (status == null && (code == 400 || code == 422) && a.accepted && a.toldAt[1] < askedAt) {
-            broken("forgotten: " + question + " of " + id + " got " + code);
+            recordViolation("forgotten: " + question + " of " + id + " got " + code);
         }
         for (int r = rank + 1; r <= 2; r++) {
             if (a.toldAt[r] < askedAt) {
-                broken("older answer: " + question + " of " + id + " got " + code + " " + status + ", " + a.outcome
-                        + " was told");
+                recordViolation("older answer: " + question + " of " + id + " got " + code + " " + status + ", "
+                        + a.outcome + " was told");
             }
         }
         if (rank == 2 && a.outcome != null && !a.outcome.equals(status)) {
-            broken("went_back: " + id + " " + a.outcome + ", then " + status);
+            recordViolation("went_back: " + id + " " + a.outcome + ", then " + status);
         }
         if (rank == 2) {
             a.outcome = status;
@@ -272,34 +273,34 @@
         // A gang completes together, so one of its tasks is enough.
         int least = gangs.getOrDefault(id, false) ? 1 : sizes.getOrDefault(id, 1);
         if ("done".equals(status) && a.completed.size() < least) {
-            broken("not_done: " + id + " with " + a.completed.size() + " tasks done");
+            recordViolation("not_done: " + id + " with " + a.completed.size() + " tasks done");
         }
         if (rank > 0) {
             a.accepted = true;
-            a.answeredAt = now;
+            a.answeredAt = nowS;
         }
         for (int r = 1; r <= rank; r++) {
-            if (!(a.toldAt[r] <= now)) {
-                a.toldAt[r] = now;
+            if (!(a.toldAt[r] <= nowS)) {
+                a.toldAt[r] = nowS;
             }
         }
         if ("withdrawn".equals(status)) {
-            cancelledAt.putIfAbsent(id, now);
+            cancelAcknowledgedAtS.putIfAbsent(id, nowS);
         }
     }
 
     /** The submission as it was first sent. */
-    byte[] body(String id) {
+    byte[] originalSubmission(String id) {
         return bodies.get(id);
     }
 
     /** A new submission, to be sent by the test itself. */
-    byte[] submission(String id, int tasks) {
-        return nodes.get(0).body(id, tasks, false, Map.of());
+    byte[] newSubmission(String id, int tasks) {
+        return controllers.get(0).buildSubmission(id, tasks, false, Map.of());
     }
 
     /** Jobs that were accepted. */
-    List<String> accepted() {
+    List<String> acceptedJobs() {
         return asked.entrySet().stream()
                 .filter(e -> e.getValue().accepted)
                 .map(Map.Entry::getKey)
@@ -314,16 +315,16 @@
      * The last trouble is over: each job that was accepted is answered about, none waits beside room, and within the time
      * each ends, or runs if it is a service.
      */
-    void settle(double mostS) {
-        double from = now;
+    void runUntilSettled(double timeoutS) {
+        double from = nowS;
         for (Asked a : asked.values()) {
             a.waitsSince = Double.NaN;
         }
         int turn = 0;
-        while (now < from + mostS) {
+        while (nowS < from + timeoutS) {
             boolean all = true;
             int polls = 0;
-            List<String> open = new ArrayList<>(accepted());
+            List<String> open = new ArrayList<>(acceptedJobs());
             open.sort(java.util.Comparator.comparingDouble(id -> asked.get(id).askedAt));
             for (String id : open) {
                 Asked a = asked.get(id);
@@ -331,47 +332,47 @@
                     continue;
                 }
                 // Each about every five seconds, at one node after the other, and no more than the nodes' budgets take.
-                if (now - a.askedAt > 5 && polls < 40) {
+                if (nowS - a.askedAt > 5 && polls < 40) {
                     polls++;
-                    a.askedAt = now;
-                    Node n = nodes.get((turn + polls) % nodes.size());
+                    a.askedAt = nowS;
+                    ControllerProcess n = controllers.get((turn + polls) % controllers.size());
                     if (n.up) {
-                        n.askLater("poll", id, r -> n.users.poll(id, r), null);
+                        n.askAsync("poll", id, r -> n.users.poll(id, r), null);
                     }
                 }
-                if (now - Math.max(from, a.answeredAt) > ANSWERED_S) {
-                    broken("forgotten: nobody answers about " + id);
+                if (nowS - Math.max(from, a.answeredAt) > ANSWERED_S) {
+                    recordViolation("forgotten: nobody answers about " + id);
                 }
-                if (runs(id) && services.contains(id)) {
+                if (isRunning(id) && services.contains(id)) {
                     continue;
                 }
-                if (runs(id) || cancelledAt.containsKey(id) || faulty.contains(id) || !room(a)) {
+                if (isRunning(id) || cancelAcknowledgedAtS.containsKey(id) || failingJobs.contains(id) || !room(a)) {
                     a.waitsSince = Double.NaN;
                 } else if (Double.isNaN(a.waitsSince)) {
-                    a.waitsSince = now;
+                    a.waitsSince = nowS;
                 }
-                if (now - a.waitsSince > BESIDE_ROOM_S) {
-                    broken("waits beside room: " + id);
+                if (nowS - a.waitsSince > BESIDE_ROOM_S) {
+                    recordViolation("waits beside room: " + id);
                 }
                 all = false;
             }
-            if (all || !broken.isEmpty()) {
+            if (all || !violations.isEmpty()) {
                 return;
             }
             turn++;
-            run(1);
+            runFor(1);
         }
-        for (String id : accepted()) {
-            if (asked.get(id).outcome == null && !(services.contains(id) && runs(id))) {
-                broken("not over: " + id);
+        for (String id : acceptedJobs()) {
+            if (asked.get(id).outcome == null && !(services.contains(id) && isRunning(id))) {
+                recordViolation("not over: " + id);
             }
         }
     }
 
-    boolean runs(String id) {
+    boolean isRunning(String id) {
         for (Worker w : workers.values()) {
-            for (Task t : w.held()) {
-                if (t.job.equals(id)) {
+            for (Task t : w.activeTasks()) {
+                if (t.jobId.equals(id)) {
                     return true;
                 }
             }
@@ -381,71 +382,71 @@
 
     private boolean room(Asked a) {
         Team t = teams.get(a.team);
-        if (t != null && t.cpusMax() > 0 && used(a.team) + a.cpus > t.cpusMax()) {
+        if (t != null && t.maxCpus() > 0 && usedCpus(a.team) + a.cpus > t.maxCpus()) {
             return false;
         }
         for (Worker w : workers.values()) {
-            if (w.gone
-                    || w.cut
-                    || w.deaf
-                    || w.mute
-                    || w.sick
-                    || w.hangsUntil > now
-                    || !w.boots
-                    || now < w.bornS + w.bootsInS) {
+            if (w.terminated
+                    || w.disconnected
+                    || w.inboundBlocked
+                    || w.reportsBlocked
+                    || w.failsAllTasks
+                    || w.hungUntilS > nowS
+                    || !w.willBoot
+                    || nowS < w.rentedAtS + w.bootDurationS) {
                 continue;
             }
             if (a.zone != null && !a.zone.equals(w.zone)) {
                 continue;
             }
             double used = 0;
-            for (Task u : w.held()) {
-                used += asked.get(u.job).cpus;
+            for (Task u : w.activeTasks()) {
+                used += asked.get(u.jobId).cpus;
             }
-            if (used + a.cpus <= TYPE_CPUS) {
+            if (used + a.cpus <= MACHINE_CPUS) {
                 return true;
             }
         }
         return false;
     }
 
-    void in(double s, Runnable r) {
-        events.add(new Event(now + s, order++, r));
+    void schedule(double delayS, Runnable action) {
+        events.add(new Event(nowS + delayS, order++, action));
     }
 
-    void broken(String s) {
-        broken.add(Math.round(now - 1000) + " s: " + s);
+    void recordViolation(String s) {
+        violations.add(Math.round(nowS - 1000) + " s: " + s);
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
-    void run(double seconds) {
-        double end = now + seconds;
+    void runFor(double seconds) {
+        double end = nowS + seconds;
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event e = events.poll();
-            now = Math.max(now, e.at());
+            nowS = Math.max(nowS, e.at());
             e.run().run();
         }
-        now = end;
+        nowS = end;
     }
 
     /** Runs until a condition holds; false if it never did. */
-    boolean until(double mostS, java.util.function.BooleanSupplier c) {
-        for (double t = 0; t < mostS; t += 0.25) {
-            if (c.getAsBoolean()) {
+    boolean runUntil(double timeoutS, java.util.function.BooleanSupplier condition) {
+        for (double t = 0; t < timeoutS; t += 0.25) {
+            if (condition.getAsBoolean()) {
                 return true;
             }
-            run(0.25);
+            runFor(0.25);
         }
-        return c.getAsBoolean();
+        return condition.getAsBoolean();
     }
 
-    Node leader() {
-        Node best = null;
-        for (Node n : nodes) {
-            if (n.up && n.controller.leads() && (best == null || n.token() > best.token())) {
+    ControllerProcess leader() {
+        ControllerProcess best = null;
+        for (ControllerProcess n : controllers) {
+            if (n.up && n.controller.isLeading() && (best == null || n.token() > best.token())) {
                 best = n;
             }
         }
@@ -454,36 +455,36 @@
 
     // ---- controllers ------------------------------------------------------------------------------------------
 
-    final class Node {
+    final class ControllerProcess {
         final String label;
         private final int count;
         private final List<Team> teams;
         boolean up;
         /** What it can reach. */
-        StateStandIn.Link link = StateStandIn.Link.GOOD;
+        FakeStateService.Link stateLink = FakeStateService.Link.HEALTHY;
 
-        /** Milliseconds by which its time of day differs from the true one; within {@link #SKEW_MS}. */
-        long skewMs;
+        /** Milliseconds by which its time of day differs from the true one; within {@link #MAX_CLOCK_SKEW_MS}. */
+        long clockSkewMs;
 
         boolean cutFromPeers;
         boolean cutFromWorkers;
         /** Whether it is in a zone that is cut off from the rest. */
-        boolean inside;
+        boolean inIsolatedZone;
 
         private int process;
         /** When it goes on, while it stands still: nothing of it runs, but its clocks do. */
-        double frozenUntil;
+        double pausedUntilS;
         /** The start of a path: it stands still for so long just between deciding on such a call and sending it. */
-        String freezeAt;
+        String pauseBeforePath;
 
-        double freezeForS;
+        double pauseDurationS;
         /** Whether its next process is of the version in production: it says nothing of itself and knows no newer field. */
-        boolean old;
+        boolean oldVersion;
 
         Controller controller;
-        Users users;
+        UserRequestHandler users;
 
-        Node(String label, int count, List<Team> teams) {
+        ControllerProcess(String label, int count, List<Team> teams) {
             this.label = label;
             this.count = count;
             this.teams = teams;
@@ -494,10 +495,10 @@
         }
 
         private long epochMs() {
-            return (long) (now * 1000) + skewMs;
+            return (long) (nowS * 1000) + clockSkewMs;
         }
 
-        void boot() {
+        void start() {
             int mine = ++process;
             List<Settings.Peer> others = new ArrayList<>();
             for (int i = 0; i < count; i++) {
@@ -513,14 +514,14 @@
                     others,
                     "x:3",
                     "x:4",
-                    SKEW_MS,
+                    MAX_CLOCK_SKEW_MS,
                     teams,
                     List.of(),
                     2,
-                    leaseS,
+                    workerLeaseS,
                     50,
                     6,
-                    CANCEL_S,
+                    CANCEL_DEADLINE_S,
                     200,
                     25,
                     8,
@@ -530,18 +531,19 @@
                     10,
                     1000,
                     360);
-            Calls plain = state.calls(this, () -> inside ? StateStandIn.Link.SILENT : link);
-            Calls st = alive(mine, old ? asProduction(plain) : plain);
-            StateClient client = new StateClient(st, st, () -> now, 200, count);
+            HttpTransport plain = stateService.connectionFrom(
+                    this, () -> inIsolatedZone ? FakeStateService.Link.PARTITIONED : stateLink);
+            HttpTransport st = alive(mine, oldVersion ? asProduction(plain) : plain);
+            StateClient client = new StateClient(st, st, () -> nowS, 200, count);
             Environment environment = new Environment(
                     s,
-                    old ? Operators.defaults() : operators,
+                    oldVersion ? OperatorSettings.defaults() : operators,
                     client,
                     alive(mine, cloud::call),
                     a -> alive(mine, commands(a, this)),
-                    () -> now,
+                    () -> nowS,
                     this::epochMs,
-                    (r, ms) -> in(
+                    (r, ms) -> schedule(
                             ms / 1000.0,
                             () -> awake(() -> {
                                 if (process == mine) {
@@ -549,52 +551,57 @@
                                 }
                             })));
             controller = new Controller(environment, new SplittableRandom(label.hashCode() * 31L + process));
-            users = new Users(controller, client, s, this::epochMs);
+            users = new UserRequestHandler(controller, client, s, this::epochMs);
             up = true;
             Runnable[] tick = new Runnable[1];
             tick[0] = () -> {
                 if (process != mine) {
                     return;
                 }
-                if (frozenUntil > now) {
+                if (pausedUntilS > nowS) {
                     awake(tick[0]);
                     return;
                 }
                 controller.tick();
                 noticeLeading();
-                in(Constants.TICK_MS / 1000.0, tick[0]);
+                schedule(Constants.TICK_MS / 1000.0, tick[0]);
             };
-            in(0, tick[0]);
+            schedule(0, tick[0]);
             Runnable[] ask = new Runnable[1];
             ask[0] = () -> {
                 if (process != mine) {
                     return;
                 }
-                if (frozenUntil > now) {
+                if (pausedUntilS > nowS) {
                     awake(ask[0]);
                     return;
                 }
-                for (Node n : nodes) {
-                    if (n == this || n.frozenUntil > now || n.cutFromPeers || cutFromPeers || n.inside != inside) {
+                for (ControllerProcess n : controllers) {
+                    if (n == this
+                            || n.pausedUntilS > nowS
+                            || n.cutFromPeers
+                            || cutFromPeers
+                            || n.inIsolatedZone != inIsolatedZone) {
                         continue;
                     }
-                    if (!n.up || peersRefuse) {
-                        controller.peerRefused(n.label);
+                    if (!n.up || peersRefuseConnections) {
+                        controller.recordPeerRefusal(n.label);
                         continue;
                     }
-                    controller.heardPeer(n.label, new Peers.Heard(now, n.controller.tellPeer(1)));
+                    controller.handlePeerResponse(
+                            n.label, new PeerConnections.TimedResponse(nowS, n.controller.answerPeerRequest(1)));
                 }
-                in(Constants.PEER_MS / 1000.0, ask[0]);
+                schedule(Constants.PEER_POLL_INTERVAL_MS / 1000.0, ask[0]);
             };
-            in(0.5, ask[0]);
+            schedule(0.5, ask[0]);
         }
 
         /** Records come as production would see them, what it does not know left out, and it writes nothing of itself. */
-        private Calls asProduction(Calls c) {
+        private HttpTransport asProduction(HttpTransport c) {
             return (method, path, body, ms, then) -> {
-                for (Object o : Fields.list(body == null ? Map.of() : body, "writes")) {
-                    if (String.valueOf(Fields.map(o).get("put")).startsWith("v/")) {
-                        in(0.002, () -> then.accept(new Http.Answer(200, Map.of(), true)));
+                for (Object o : Fields.getList(body == null ? Map.of() : body, "writes")) {
+                    if (String.valueOf(Fields.asMap(o).get("put")).startsWith("v/")) {
+                        schedule(0.002, () -> then.accept(new PooledHttpClient.Response(200, Map.of(), true)));
                         return;
                     }
                 }
@@ -603,14 +610,14 @@
                         known(a.body(), "v");
                     }
                     for (String list : List.of("rows", "news")) {
-                        for (Object o : Fields.list(a.body(), list)) {
-                            Map<String, Object> r = Fields.map(o);
-                            String k = Fields.str(r, "k", Fields.str(r, "put", ""));
+                        for (Object o : Fields.getList(a.body(), list)) {
+                            Map<String, Object> r = Fields.asMap(o);
+                            String k = Fields.getString(r, "k", Fields.getString(r, "put", ""));
                             if (k.startsWith("j/")) {
                                 known(r, "v");
                             }
                             if (k.startsWith("p/")) {
-                                broken("parts while " + label + " cannot read them");
+                                recordViolation("parts while " + label + " cannot read them");
                             }
                         }
                     }
@@ -623,34 +630,34 @@
             if (!(m.get(k) instanceof Map)) {
                 return;
             }
-            if (Fields.map(m.get(k)).containsKey("K")) {
-                broken("a record with parts while " + label + " cannot read them");
+            if (Fields.asMap(m.get(k)).containsKey("K")) {
+                recordViolation("a record with parts while " + label + " cannot read them");
             }
-            m.put(k, org.mountlug.store.ProductionTest.throughProduction(Fields.map(m.get(k))));
+            m.put(k, org.mountlug.store.ProductionCompatibilityTest.rewrittenByProduction(Fields.asMap(m.get(k))));
         }
 
         /** Ends, and comes back with the new version. */
-        void upgradeAfter(double s) {
-            old = false;
-            restartAfter(s);
+        void upgradeAfter(double delayS) {
+            oldVersion = false;
+            restartAfter(delayS);
         }
 
         private void noticeLeading() {
-            if (!controller.leads() || controller.token() <= highestToken) {
+            if (!controller.isLeading() || controller.token() <= highestToken) {
                 return;
             }
             highestToken = controller.token();
-            for (var f : List.copyOf(onLead)) {
+            for (var f : List.copyOf(onTermStart)) {
                 f.accept(this);
             }
         }
 
         /** An answer that comes after the process has ended reaches nobody. */
-        private Calls alive(int mine, Calls c) {
+        private HttpTransport alive(int mine, HttpTransport c) {
             return (method, path, body, ms, then) -> {
-                if (freezeAt != null && path.startsWith(freezeAt)) {
-                    freezeAt = null;
-                    freeze(freezeForS);
+                if (pauseBeforePath != null && path.startsWith(pauseBeforePath)) {
+                    pauseBeforePath = null;
+                    pause(pauseDurationS);
                 }
                 awake(() -> c.call(
                         method,
@@ -669,59 +676,63 @@
 
         /** Now, or as soon as it goes on. */
         private void awake(Runnable r) {
-            if (frozenUntil > now) {
-                in(frozenUntil - now, () -> awake(r));
+            if (pausedUntilS > nowS) {
+                schedule(pausedUntilS - nowS, () -> awake(r));
             } else {
                 r.run();
             }
         }
 
-        void freeze(double forS) {
-            frozenUntil = now + forS;
+        void pause(double durationS) {
+            pausedUntilS = nowS + durationS;
         }
 
         void kill() {
             up = false;
-            frozenUntil = 0;
+            pausedUntilS = 0;
             process++;
         }
 
-        void restartAfter(double s) {
+        void restartAfter(double delayS) {
             kill();
-            in(s, this::boot);
+            schedule(delayS, this::start);
         }
 
         /** One request of a user, waited for; {@code null} if no answer came in time. */
-        Map<String, Object> ask(Consumer<Users.Reply> request) {
+        Map<String, Object> ask(Consumer<UserRequestHandler.Reply> request) {
             return ask("request", null, request);
         }
 
-        private Map<String, Object> ask(String question, String id, Consumer<Users.Reply> request) {
+        private Map<String, Object> ask(String question, String id, Consumer<UserRequestHandler.Reply> request) {
             List<Map<String, Object>> got = new ArrayList<>();
-            if (!up || frozenUntil > now) {
+            if (!up || pausedUntilS > nowS) {
                 return null;
             }
-            askLater(question, id, request, got::add);
-            until(5, () -> !got.isEmpty());
+            askAsync(question, id, request, got::add);
+            runUntil(5, () -> !got.isEmpty());
             return got.isEmpty() ? null : got.get(0);
         }
 
         /** The same without waiting; every answer is held against all that were sent before its question. */
-        void askLater(String question, String id, Consumer<Users.Reply> request, Consumer<Map<String, Object>> then) {
-            if (!up || frozenUntil > now) {
+        void askAsync(
+                String question,
+                String id,
+                Consumer<UserRequestHandler.Reply> request,
+                Consumer<Map<String, Object>> then) {
+            if (!up || pausedUntilS > nowS) {
                 return;
             }
-            double askedAt = now;
+            double askedAt = nowS;
             int mine = process;
             request.accept(answer -> {
                 if (process != mine) {
                     return;
                 }
-                int status = UserAnswerCodec.status(answer);
-                Map<String, Object> m = new LinkedHashMap<>(UserAnswerCodec.body(answer));
+                int status = UserResponseCodec.status(answer);
+                Map<String, Object> m = new LinkedHashMap<>(UserResponseCodec.body(answer));
                 m.put("answer", answer);
                 if (id != null) {
-                    told(id, askedAt, question + " at " + label, status, m);
+                    checkResponse(id, askedAt, question + " at " + label, status, m);
                 }
                 m.put("code", status);
                 if (then != null) {
@@ -731,29 +742,32 @@
         }
 
         /** The same, read from its socket as soon as it goes on if it stands still now. */
-        void askThroughSocket(
-                String question, String id, Consumer<Users.Reply> request, Consumer<Map<String, Object>> then) {
-            awake(() -> askLater(question, id, request, then));
+        void askAsyncThroughSocket(
+                String question,
+                String id,
+                Consumer<UserRequestHandler.Reply> request,
+                Consumer<Map<String, Object>> then) {
+            awake(() -> askAsync(question, id, request, then));
         }
 
         Map<String, Object> poll(String id) {
             return ask("poll", id, r -> users.poll(id, r));
         }
 
-        Map<String, Object> abort(String id) {
-            return ask("abort", id, r -> users.abort(id, r));
+        Map<String, Object> cancel(String id) {
+            return ask("abort", id, r -> users.cancel(id, r));
         }
 
         Map<String, Object> submit(String id, int tasks, boolean gang) {
             return submit(id, tasks, gang, Map.of());
         }
 
-        Map<String, Object> submit(String id, int tasks, boolean gang, Map<String, Object> more) {
-            byte[] body = body(id, tasks, gang, more);
+        Map<String, Object> submit(String id, int tasks, boolean gang, Map<String, Object> extraFields) {
+            byte[] body = buildSubmission(id, tasks, gang, extraFields);
             return ask("submission", id, r -> users.submit(body, r));
         }
 
-        byte[] body(String id, int tasks, boolean gang, Map<String, Object> more) {
+        byte[] buildSubmission(String id, int tasks, boolean gang, Map<String, Object> extraFields) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("nameId", id);
             m.put("lane", "l");
@@ -769,10 +783,10 @@
             m.put("oneZone", false);
             m.put("apart", false);
             m.put("loaners", true);
-            m.put("expectedS", runS);
+            m.put("expectedS", taskDurationS);
             m.put("bookmarkS", 0.0);
             m.put("stashS", 0.0);
-            m.putAll(more);
+            m.putAll(extraFields);
             if ("daemon".equals(m.get("shape")) && !asked.getOrDefault(id, NOBODY).accepted) {
                 services.add(id);
             }
@@ -791,46 +805,46 @@
         }
 
         /** Sends a new submission without waiting. */
-        void sendFresh(String id, int tasks) {
-            send(id, tasks, false, Map.of());
+        void submitAsync(String id, int tasks) {
+            submitAsync(id, tasks, false, Map.of());
         }
 
-        void send(String id, int tasks, boolean gang, Map<String, Object> more) {
+        void submitAsync(String id, int tasks, boolean gang, Map<String, Object> extraFields) {
             if (!up) {
                 return;
             }
-            byte[] body = body(id, tasks, gang, more);
-            askLater("submission", id, r -> users.submit(body, r), null);
+            byte[] body = buildSubmission(id, tasks, gang, extraFields);
+            askAsync("submission", id, r -> users.submit(body, r), null);
         }
 
         /** Sends the submission once more, as it was. */
-        void repeat(String id) {
-            askLater("submission", id, r -> users.submit(bodies.get(id), r), null);
+        void resubmit(String id) {
+            askAsync("submission", id, r -> users.submit(bodies.get(id), r), null);
         }
     }
 
     /** Submits until accepted, at any node that is up. */
-    void accept(String id, int tasks, boolean gang, Map<String, Object> more) {
+    void submitUntilAccepted(String id, int tasks, boolean gang, Map<String, Object> extraFields) {
         for (int i = 0; i < 60; i++) {
-            for (Node n : nodes) {
-                Map<String, Object> a = n.submit(id, tasks, gang, more);
+            for (ControllerProcess n : controllers) {
+                Map<String, Object> a = n.submit(id, tasks, gang, extraFields);
                 if (a != null && ((int) a.get("code") == 201 || (int) a.get("code") == 200)) {
                     return;
                 }
             }
-            run(1);
+            runFor(1);
         }
-        broken(id + " was not accepted in a minute");
+        recordViolation(id + " was not accepted in a minute");
     }
 
-    void accept(String id, int tasks, boolean gang) {
-        accept(id, tasks, gang, Map.of());
+    void submitUntilAccepted(String id, int tasks, boolean gang) {
+        submitUntilAccepted(id, tasks, gang, Map.of());
     }
 
     /** What any node says of the job within so many seconds; "unanswered" if none did. */
-    String status(String id, double mostS) {
-        for (double end = now + mostS; now < end; run(1)) {
-            for (Node n : nodes) {
+    String pollStatus(String id, double timeoutS) {
+        for (double end = nowS + timeoutS; nowS < end; runFor(1)) {
+            for (ControllerProcess n : controllers) {
                 Map<String, Object> a = n.poll(id);
                 if (a != null && (int) a.get("code") == 200) {
                     return (String) a.get("status");
@@ -844,52 +858,52 @@
     }
 
     /** The way directly to a worker, which its address names. */
-    private Calls commands(String address, Node from) {
+    private HttpTransport commands(String address, ControllerProcess from) {
         return (method, path, body, ms, then) -> {
             Worker w = workers.get(address);
             if (w == null || !w.reaches(from)) {
-                in(ms / 1000.0, () -> then.accept(new Http.Answer(0, Map.of(), false)));
+                schedule(ms / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), false)));
                 return;
             }
             boolean[] over = new boolean[1];
-            Runnable carry = () -> w.command(
+            Runnable carry = () -> w.handleCommands(
                     body,
-                    a -> in(0.001, () -> {
+                    a -> schedule(0.001, () -> {
                         if (!over[0]) {
                             then.accept(a);
                         }
                         over[0] = true;
                     }));
-            if (w.hangsUntil > now) {
-                in(ms / 1000.0, () -> {
+            if (w.hungUntilS > nowS) {
+                schedule(ms / 1000.0, () -> {
                     if (!over[0]) {
-                        then.accept(new Http.Answer(0, Map.of(), true));
+                        then.accept(new PooledHttpClient.Response(0, Map.of(), true));
                     }
                     over[0] = true;
                 });
             }
-            if (!w.deaf && commandLateS == 0) {
-                in(0.001, carry);
+            if (!w.inboundBlocked && commandDelayS == 0) {
+                schedule(0.001, carry);
             } else {
-                if (w.deaf) {
+                if (w.inboundBlocked) {
                     heldCommands.add(carry);
                 } else {
-                    in(commandLateS, carry);
+                    schedule(commandDelayS, carry);
                 }
-                in(ms / 1000.0, () -> then.accept(new Http.Answer(0, Map.of(), true)));
+                schedule(ms / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
             }
         };
     }
 
     // ---- machines ---------------------------------------------------------------------------------------------
 
-    Worker worker(String zone) {
-        Worker w = new Worker(String.format("n-%06d", ++rented), zone);
+    Worker addMachine(String zone) {
+        Worker w = new Worker(String.format("n-%06d", ++machinesRented), zone);
         workers.put(w.name, w);
-        if (neverBootsEvery == 0 || rented % neverBootsEvery > 0) {
-            in(w.bootsInS, w::sendReport);
-            in(w.bootsInS, w::live);
-            w.boots = true;
+        if (everyNthNeverBoots == 0 || machinesRented % everyNthNeverBoots > 0) {
+            schedule(w.bootDurationS, w::sendReport);
+            schedule(w.bootDurationS, w::live);
+            w.willBoot = true;
         }
         return w;
     }
@@ -897,15 +911,15 @@
     // ---- workers ----------------------------------------------------------------------------------------------
 
     final class Task {
-        final String job;
+        final String jobId;
         final int index;
         final long attempt;
-        TaskState state = TaskState.RUNNING;
-        Cause cause = Cause.NONE;
+        AttemptState state = AttemptState.RUNNING;
+        ExitCause cause = ExitCause.NONE;
         double ranS;
 
         Task(String job, int index, long attempt) {
-            this.job = job;
+            this.jobId = job;
             this.index = index;
             this.attempt = attempt;
         }
@@ -920,258 +934,263 @@
         long session = 1;
         long sequence;
         long token;
-        double leaseFrom = now;
-        int at;
-        boolean gone;
-        final double bornS = now;
-        final double bootsInS = bootS * bootFactor;
+        double leaseStartS = nowS;
+        int controllerIndex;
+        boolean terminated;
+        final double rentedAtS = nowS;
+        final double bootDurationS = machineBootS * bootSlowdownFactor;
         /** Whether it ever comes up. */
-        boolean boots;
+        boolean willBoot;
 
-        double diedAt = Double.POSITIVE_INFINITY;
+        double crashedAtS = Double.POSITIVE_INFINITY;
         /** When the cloud takes it, which its reports announce; NaN while it does not. */
-        double takenAt = Double.NaN;
+        double reclaimedAtS = Double.NaN;
         /** Every task that starts fails. */
-        boolean sick;
+        boolean failsAllTasks;
         /** How many times slower than others it runs tasks. */
-        double slow = 1;
+        double slowdownFactor = 1;
         /** Reports leave, answers do not come. */
-        boolean deaf;
+        boolean inboundBlocked;
         /** Nothing leaves. */
-        boolean cut;
+        boolean disconnected;
         /** No report leaves, but orders sent directly here arrive. */
-        boolean mute;
+        boolean reportsBlocked;
         /** Whether it is in a zone that is cut off from the rest. */
-        boolean inside;
+        boolean inIsolatedZone;
 
         final String zone;
         /** When it goes on, while it hangs: tasks stand still, and so does what it would hear or say. */
-        double hangsUntil;
+        double hungUntilS;
         /** Seconds by which its reports are held up on their way; the answers are not. */
-        double reportLateS;
+        double reportDelayS;
         /** Whether a report of its was overtaken by the answer to orders sent directly here, and answered all the same. */
-        boolean overtaken;
+        boolean reportOvertaken;
 
         private long direct;
         /** Every report sent, for late copies. */
-        final List<Report> sent = new ArrayList<>();
+        final List<Report> sentReports = new ArrayList<>();
 
-        int starts;
+        int startCount;
 
         Worker(String name, String zone) {
             this.name = name;
             this.address = name;
             this.zone = zone;
-            this.leaseFrom = now + bootsInS;
+            this.leaseStartS = nowS + bootDurationS;
         }
 
-        boolean reaches(Node n) {
-            return !cut && !n.cutFromWorkers && inside == n.inside;
+        boolean reaches(ControllerProcess n) {
+            return !disconnected && !n.cutFromWorkers && inIsolatedZone == n.inIsolatedZone;
         }
 
         /** Tasks on the machine; a hung one that its lease has outrun will kill them before anything else. */
-        List<Task> held() {
-            if (gone || tasks.isEmpty() || now - leaseFrom > leaseS + 0.1) {
+        List<Task> activeTasks() {
+            if (terminated || tasks.isEmpty() || nowS - leaseStartS > workerLeaseS + 0.1) {
                 return List.of();
             }
             return tasks.values().stream()
-                    .filter(t -> t.state != TaskState.EXITED)
+                    .filter(t -> t.state != AttemptState.EXITED)
                     .toList();
         }
 
         /** Stops with all that is on it; the cloud's list tells so half a minute later. */
-        void die() {
-            end();
-            diedAt = now;
+        void crash() {
+            terminate();
+            crashedAtS = nowS;
         }
 
-        void end() {
-            gone = true;
+        void terminate() {
+            terminated = true;
             tasks.clear();
         }
 
         /** Lease and running tasks, ten times a second. */
         void live() {
-            if (gone) {
+            if (terminated) {
                 return;
             }
-            if (hangsUntil > now) {
-                in(hangsUntil - now, this::live);
+            if (hungUntilS > nowS) {
+                schedule(hungUntilS - nowS, this::live);
                 return;
             }
-            if (now - leaseFrom > leaseS) {
+            if (nowS - leaseStartS > workerLeaseS) {
                 tasks.clear();
                 session++;
-                leaseFrom = now;
+                leaseStartS = nowS;
             }
             boolean changed = false;
             for (Task t : tasks.values()) {
-                if (t.state == TaskState.WAITING && together(t)) {
-                    t.state = TaskState.RUNNING;
+                if (t.state == AttemptState.WAITING_FOR_GANG && together(t)) {
+                    t.state = AttemptState.RUNNING;
                 }
-                if (t.state != TaskState.RUNNING) {
+                if (t.state != AttemptState.RUNNING) {
                     continue;
                 }
-                t.ranS += 0.1 / slow;
-                boolean fails = sick || faulty.contains(t.job);
-                boolean service = services.contains(t.job);
-                if (fails || t.ranS >= runS && (!service || replicasEnd != null)) {
-                    t.state = TaskState.EXITED;
-                    t.cause = fails ? Cause.ERROR : service ? replicasEnd : Cause.DONE;
-                    if (t.cause == Cause.DONE && asked.containsKey(t.job)) {
-                        asked.get(t.job).completed.add(t.index);
+                t.ranS += 0.1 / slowdownFactor;
+                boolean fails = failsAllTasks || failingJobs.contains(t.jobId);
+                boolean service = services.contains(t.jobId);
+                if (fails || t.ranS >= taskDurationS && (!service || replicaExitCause != null)) {
+                    t.state = AttemptState.EXITED;
+                    t.cause = fails ? ExitCause.ERROR : service ? replicaExitCause : ExitCause.DONE;
+                    if (t.cause == ExitCause.DONE && asked.containsKey(t.jobId)) {
+                        asked.get(t.jobId).completed.add(t.index);
                     }
                     changed = true;
                 }
             }
-            in(0.1, this::live);
+            schedule(0.1, this::live);
         }
 
         private boolean together(Task t) {
             int n = 0;
             for (Worker w : workers.values()) {
                 for (Task u : w.tasks.values()) {
-                    if (u.job.equals(t.job) && u.attempt == t.attempt && u.state != TaskState.EXITED) {
+                    if (u.jobId.equals(t.jobId) && u.attempt == t.attempt && u.state != AttemptState.EXITED) {
                         n++;
                     }
                 }
             }
-            return n >= sizes.get(t.job);
+            return n >= sizes.get(t.jobId);
         }
 
-        Report report() {
-            List<Report.Item> items = new ArrayList<>();
+        Report createReport() {
+            List<Report.AttemptStatus> items = new ArrayList<>();
             for (Task t : tasks.values()) {
-                items.add(new Report.Item(t.job, t.index, t.attempt, t.state, t.cause, false));
+                items.add(new Report.AttemptStatus(t.jobId, t.index, t.attempt, t.state, t.cause, false));
             }
-            double noticeS = takenAt - now;
+            double noticeS = reclaimedAtS - nowS;
             return new Report(name, name, "small", zone, false, session, ++sequence, token, noticeS, items);
         }
 
         void sendReport() {
-            if (gone) {
+            if (terminated) {
                 return;
             }
-            if (hangsUntil > now) {
+            if (hungUntilS > nowS) {
                 // On waking, the lease is looked at before anything is said.
-                in(hangsUntil - now + 0.001, this::sendReport);
+                schedule(hungUntilS - nowS + 0.001, this::sendReport);
                 return;
             }
-            if (reporting != null) {
-                reporting.accept(this);
+            if (reportSender != null) {
+                reportSender.accept(this);
                 return;
             }
-            Node n = nodes.get(at);
-            if (mute || !reaches(n) || !n.up) {
-                elsewhere(mute || !reaches(n) ? 5 : 1);
+            ControllerProcess n = controllers.get(controllerIndex);
+            if (reportsBlocked || !reaches(n) || !n.up) {
+                elsewhere(reportsBlocked || !reaches(n) ? 5 : 1);
                 return;
             }
-            Report r = report();
-            sent.add(r);
-            double sentAt = now;
-            in(0.002 + reportLateS, () -> {
-                overtaken |= direct > r.sequence() && n.up && n.controller.leads();
-                if (n.frozenUntil > now) {
+            Report r = createReport();
+            sentReports.add(r);
+            double sentAt = nowS;
+            schedule(0.002 + reportDelayS, () -> {
+                reportOvertaken |= direct > r.sequence() && n.up && n.controller.isLeading();
+                if (n.pausedUntilS > nowS) {
                     // It waits in the socket and is read on waking, when nobody waits for the answer any more.
-                    in(n.frozenUntil - now, () -> {
+                    schedule(n.pausedUntilS - nowS, () -> {
                         if (n.up) {
                             n.controller.handleReport(r);
                         }
                     });
-                    in(5, () -> elsewhere(0));
+                    schedule(5, () -> elsewhere(0));
                     return;
                 }
-                Controller.ReportAnswer b = n.up ? n.controller.handleReport(r) : null;
-                if (deaf) {
-                    in(5, () -> elsewhere(0));
+                Controller.ReportResponse b = n.up ? n.controller.handleReport(r) : null;
+                if (inboundBlocked) {
+                    schedule(5, () -> elsewhere(0));
                 } else {
-                    in(0.002, () -> heard(b, sentAt, r.session()));
+                    schedule(0.002, () -> handleReportResponse(b, sentAt, r.session()));
                 }
             });
         }
 
         private void elsewhere(double s) {
-            at = (at + 1) % nodes.size();
-            in(s, this::sendReport);
+            controllerIndex = (controllerIndex + 1) % controllers.size();
+            schedule(s, this::sendReport);
         }
 
-        void heard(Controller.ReportAnswer b, double sentAt, long inSession) {
-            if (gone) {
+        void handleReportResponse(Controller.ReportResponse b, double sentAt, long inSession) {
+            if (terminated) {
                 return;
             }
-            if (hangsUntil > now) {
-                in(hangsUntil - now + 0.001, () -> heard(now - sentAt > 4 ? null : b, sentAt, inSession));
+            if (hungUntilS > nowS) {
+                schedule(
+                        hungUntilS - nowS + 0.001,
+                        () -> handleReportResponse(nowS - sentAt > 4 ? null : b, sentAt, inSession));
                 return;
             }
-            if (b instanceof Controller.ReportAnswer.Orders o) {
+            if (b instanceof Controller.ReportResponse.Commands o) {
                 if (inSession == session && o.token() >= token) {
                     token = o.token();
-                    leaseFrom = Math.max(leaseFrom, sentAt);
-                    for (Order x : o.orders()) {
+                    leaseStartS = Math.max(leaseStartS, sentAt);
+                    for (Command x : o.commands()) {
                         carryOut(x);
                     }
                 }
-                in(o.orders().isEmpty() ? 2 : 0.5, this::sendReport);
-            } else if (b instanceof Controller.ReportAnswer.Elsewhere e
+                schedule(o.commands().isEmpty() ? 2 : 0.5, this::sendReport);
+            } else if (b instanceof Controller.ReportResponse.NotLeader e
                     && e.leader() != null
-                    && !e.leader().equals(nodes.get(at).label)) {
-                for (int i = 0; i < nodes.size(); i++) {
-                    if (nodes.get(i).label.equals(e.leader())) {
-                        at = i;
+                    && !e.leader().equals(controllers.get(controllerIndex).label)) {
+                for (int i = 0; i < controllers.size(); i++) {
+                    if (controllers.get(i).label.equals(e.leader())) {
+                        controllerIndex = i;
                     }
                 }
-                in(0.2, this::sendReport);
+                schedule(0.2, this::sendReport);
             } else {
                 elsewhere(1);
             }
         }
 
         /** Orders sent directly here: refused under a lower token or for another session. */
-        void command(Map<String, Object> body, Consumer<Http.Answer> then) {
-            if (gone) {
+        void handleCommands(Map<String, Object> body, Consumer<PooledHttpClient.Response> then) {
+            if (terminated) {
                 return;
             }
-            if (hangsUntil > now) {
-                in(hangsUntil - now + 0.001, () -> command(body, then));
+            if (hungUntilS > nowS) {
+                schedule(hungUntilS - nowS + 0.001, () -> handleCommands(body, then));
                 return;
             }
-            boolean good = Fields.num(body, "baton", 0) >= token && Fields.num(body, "stint", 0) == session;
+            boolean good = Fields.getLong(body, "baton", 0) >= token && Fields.getLong(body, "stint", 0) == session;
             if (good) {
-                token = Fields.num(body, "baton", 0);
-                for (Object o : Fields.list(body, "orders")) {
-                    Map<String, Object> c = Fields.map(o);
-                    Order.Verb v =
-                            switch (Fields.str(c, "verb", "")) {
-                                case "start" -> Order.Verb.START;
-                                case "kill" -> Order.Verb.STOP;
-                                default -> Order.Verb.FORGET;
+                token = Fields.getLong(body, "baton", 0);
+                for (Object o : Fields.getList(body, "orders")) {
+                    Map<String, Object> c = Fields.asMap(o);
+                    Command.Verb v =
+                            switch (Fields.getString(c, "verb", "")) {
+                                case "start" -> Command.Verb.START;
+                                case "kill" -> Command.Verb.STOP;
+                                default -> Command.Verb.FORGET;
                             };
-                    carryOut(
-                            new Order(v, Fields.str(c, "piece"), Fields.num(c, "try", 0), Fields.dec(c, "leewayS", 0)));
+                    carryOut(new Command(
+                            v,
+                            Fields.getString(c, "piece"),
+                            Fields.getLong(c, "try", 0),
+                            Fields.getDouble(c, "leewayS", 0)));
                 }
             }
-            Report r = report();
+            Report r = createReport();
             direct = r.sequence();
-            then.accept(new Http.Answer(good ? 200 : 409, message(r), true));
+            then.accept(new PooledHttpClient.Response(good ? 200 : 409, reportMessage(r), true));
         }
 
         /** A report as it is sent. */
-        Map<String, Object> message(Report r) {
+        Map<String, Object> reportMessage(Report r) {
             List<Object> pieces = new ArrayList<>();
-            for (Report.Item i : r.tasks()) {
-                boolean waits = i.state() == TaskState.WAITING;
-                String cause = i.cause() == Cause.DONE ? "done" : i.cause() == Cause.STOPPED ? "halted" : null;
-                pieces.add(Fields.ordered(
+            for (Report.AttemptStatus i : r.attempts()) {
+                boolean waits = i.state() == AttemptState.WAITING_FOR_GANG;
+                String cause = i.cause() == ExitCause.DONE ? "done" : i.cause() == ExitCause.STOPPED ? "halted" : null;
+                pieces.add(Fields.orderedMap(
                         "piece",
                         i.job() + "/" + i.task(),
                         "try",
                         i.attempt(),
                         "status",
-                        i.state() == TaskState.EXITED ? "exited" : waits ? "gathering" : "running",
+                        i.state() == AttemptState.EXITED ? "exited" : waits ? "gathering" : "running",
                         "cause",
                         cause));
             }
-            return Fields.ordered(
+            return Fields.orderedMap(
                     "rig", name,
                     "address", address,
                     "build", "small",
@@ -1183,61 +1202,61 @@
                     "pieces", pieces);
         }
 
-        void carryOut(Order o) {
-            int slash = o.task().lastIndexOf('/');
-            String job = o.task().substring(0, slash);
-            int index = Integer.parseInt(o.task().substring(slash + 1));
-            String key = o.task() + "#" + o.attempt();
+        void carryOut(Command o) {
+            int slash = o.taskName().lastIndexOf('/');
+            String job = o.taskName().substring(0, slash);
+            int index = Integer.parseInt(o.taskName().substring(slash + 1));
+            String key = o.taskName() + "#" + o.attempt();
             Task t = tasks.get(key);
             switch (o.verb()) {
                 case START -> {
                     if (t != null) {
                         return;
                     }
-                    if (state.value("j/" + job) == null && state.value("f/" + job) == null) {
-                        broken("start of unknown " + job);
+                    if (stateService.value("j/" + job) == null && stateService.value("f/" + job) == null) {
+                        recordViolation("start of unknown " + job);
                     }
                     Asked a = asked.get(job);
                     if (a != null && a.zone != null && !a.zone.equals(zone)) {
-                        broken("wrong_place: " + key + " in " + zone);
+                        recordViolation("wrong_place: " + key + " in " + zone);
                     }
                     for (Worker w : workers.values()) {
-                        for (Task u : w.held()) {
-                            if (!u.job.equals(job)) {
+                        for (Task u : w.activeTasks()) {
+                            if (!u.jobId.equals(job)) {
                                 continue;
                             }
                             if (u.index == index) {
-                                broken("ran_twice: " + o.task() + " on " + w.name + " and " + name);
+                                recordViolation("ran_twice: " + o.taskName() + " on " + w.name + " and " + name);
                             }
                             if (a != null && a.oneZone && !w.zone.equals(zone)) {
-                                broken("wrong_place: " + key + " in two zones");
+                                recordViolation("wrong_place: " + key + " in two zones");
                             }
                         }
                     }
-                    Double c = cancelledAt.get(job);
-                    if (c != null && now > c + CANCEL_S) {
-                        broken("ran_cancelled: start of " + key);
+                    Double c = cancelAcknowledgedAtS.get(job);
+                    if (c != null && nowS > c + CANCEL_DEADLINE_S) {
+                        recordViolation("ran_cancelled: start of " + key);
                     }
                     if (c != null) {
-                        latestStartS = Math.max(latestStartS, now - c);
+                        latestStartAfterCancelS = Math.max(latestStartAfterCancelS, nowS - c);
                     }
-                    starts++;
-                    startsOf.merge(job, 1, Integer::sum);
-                    startLog.add(new Start(now, job, index, zone, name));
+                    startCount++;
+                    startsByJob.merge(job, 1, Integer::sum);
+                    startLog.add(new TaskStart(nowS, job, index, zone, name));
                     t = new Task(job, index, o.attempt());
                     if (gangs.getOrDefault(job, false)) {
-                        t.state = TaskState.WAITING;
+                        t.state = AttemptState.WAITING_FOR_GANG;
                     }
                     tasks.put(key, t);
                 }
                 case STOP -> {
-                    if (t != null && t.state != TaskState.EXITED) {
-                        t.state = TaskState.EXITED;
-                        t.cause = Cause.STOPPED;
+                    if (t != null && t.state != AttemptState.EXITED) {
+                        t.state = AttemptState.EXITED;
+                        t.cause = ExitCause.STOPPED;
                     }
                 }
                 case FORGET -> {
-                    if (t != null && t.state == TaskState.EXITED) {
+                    if (t != null && t.state == AttemptState.EXITED) {
                         tasks.remove(key);
                     }
                 }
--- a/src/test/java/org/mountlug/node/SingleFaultsTest.java
+++ b/src/test/java/org/mountlug/node/SingleFaultsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.mountlug.api.UserAnswerCodec;
+import org.mountlug.api.UserResponseCodec;
 import org.mountlug.core.model.Report;
 import org.mountlug.core.model.Team;
 
@@ -31,16 +31,18 @@
 
     private static void jobs(SimulatedCluster w, int from, int count) {
         for (int i = 0; i < count; i++) {
-            w.accept(id(from + i), 1 + i % 4 * 3, i % 3 == 2);
+            w.submitUntilAccepted(id(from + i), 1 + i % 4 * 3, i % 3 == 2);
         }
     }
 
     private static void allDone(SimulatedCluster w, int from, int count, double mostS) {
         for (int i = 0; i < count; i++) {
             String id = id(from + i);
-            assertTrue(w.until(mostS, () -> w.status(id, 5).equals("done")), () -> id + " is " + w.status(id, 5));
+            assertTrue(
+                    w.runUntil(mostS, () -> w.pollStatus(id, 5).equals("done")),
+                    () -> id + " is " + w.pollStatus(id, 5));
         }
-        assertEquals(List.of(), w.broken());
+        assertEquals(List.of(), w.violations());
     }
 
     @ParameterizedTest(name = "{0} controllers")
@@ -49,7 +51,8 @@
         SimulatedCluster w = new SimulatedCluster(controllers);
         jobs(w, 1, 9);
         allDone(w, 1, 9, 120);
-        assertEquals(1, w.nodes.stream().filter(n -> n.controller.leads()).count());
+        assertEquals(
+                1, w.controllers.stream().filter(n -> n.controller.isLeading()).count());
     }
 
     /** Each end of processes, with what is back after a moment, a while, or amid the election that follows. */
@@ -58,25 +61,25 @@
     void everyAcceptedJobOutlivesTheEndOfControllers(int count, double back, double again) {
         SimulatedCluster w = new SimulatedCluster(5);
         jobs(w, 1, 6);
-        w.accept(id(50), 400, false);
-        w.run(3);
+        w.submitUntilAccepted(id(50), 400, false);
+        w.runFor(3);
         for (int round = 0; round < (again > 0 ? 2 : 1); round++) {
-            List<SimulatedCluster.Node> ends = new ArrayList<>(w.nodes);
-            SimulatedCluster.Node leader = w.leader();
+            List<SimulatedCluster.ControllerProcess> ends = new ArrayList<>(w.controllers);
+            SimulatedCluster.ControllerProcess leader = w.leader();
             if (leader != null) {
                 ends.remove(leader);
                 ends.add(0, leader);
             }
-            for (SimulatedCluster.Node n : ends.subList(0, count)) {
+            for (SimulatedCluster.ControllerProcess n : ends.subList(0, count)) {
                 n.restartAfter(back);
             }
             if (round == 0 && again > 0) {
-                w.run(again);
+                w.runFor(again);
             }
         }
-        w.run(back);
+        w.runFor(back);
         for (int i : new int[] {1, 2, 3, 4, 5, 6, 50}) {
-            String s = w.status(id(i), ANSWERED_S);
+            String s = w.pollStatus(id(i), ANSWERED_S);
             assertTrue(List.of("pending", "running", "done").contains(s), s);
         }
         allDone(w, 1, 6, 200);
@@ -87,17 +90,17 @@
     @Test
     void aJobOfTheLargestSizeStaysKnownAndRuns() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.accept(id(1), 100_000, false);
-        assertTrue(w.until(120, () -> w.status(id(1), 5).equals("running")));
-        w.run(40);
-        for (SimulatedCluster.Node n : w.nodes) {
+        w.submitUntilAccepted(id(1), 100_000, false);
+        assertTrue(w.runUntil(120, () -> w.pollStatus(id(1), 5).equals("running")));
+        w.runFor(40);
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
             n.restartAfter(0.5);
         }
-        w.run(1);
-        assertEquals("running", w.status(id(1), ANSWERED_S));
-        w.accept(id(2), 8, false);
+        w.runFor(1);
+        assertEquals("running", w.pollStatus(id(1), ANSWERED_S));
+        w.submitUntilAccepted(id(2), 8, false);
         allDone(w, 2, 1, 240);
-        assertTrue(w.state.largestValue > 500);
+        assertTrue(w.stateService.largestValueBytes > 500);
     }
 
     /** What a job's answer must not depend on: records that cannot be read, of others, and lost watches. */
@@ -106,31 +109,31 @@
     void eachJobIsAnsweredAboutOnceTroublesAreOver(String trouble) {
         SimulatedCluster w = new SimulatedCluster(3);
         jobs(w, 1, 5);
-        w.run(4);
-        SimulatedCluster.Node leader = w.leader();
+        w.runFor(4);
+        SimulatedCluster.ControllerProcess leader = w.leader();
         switch (trouble) {
             case "unreadable record" -> {
-                w.state.scribble("j/" + id(900), Map.of("s", Map.of("u", 99, "n", "x"), "p", "?.?"));
-                w.state.scribble("r/" + id(901), Map.of("t", List.of("nonsense")));
-                for (SimulatedCluster.Node n : w.nodes) {
+                w.stateService.writeUnchecked("j/" + id(900), Map.of("s", Map.of("u", 99, "n", "x"), "p", "?.?"));
+                w.stateService.writeUnchecked("r/" + id(901), Map.of("t", List.of("nonsense")));
+                for (SimulatedCluster.ControllerProcess n : w.controllers) {
                     n.restartAfter(1);
                 }
             }
-            case "leader refused" -> leader.link = StateStandIn.Link.REFUSED;
-            case "leader silent" -> leader.link = StateStandIn.Link.SILENT;
-            default -> w.state.outage = true;
+            case "leader refused" -> leader.stateLink = FakeStateService.Link.REFUSED;
+            case "leader silent" -> leader.stateLink = FakeStateService.Link.PARTITIONED;
+            default -> w.stateService.outage = true;
         }
-        w.run(8);
+        w.runFor(8);
         if (trouble.endsWith("all ended")) {
-            for (SimulatedCluster.Node n : w.nodes) {
+            for (SimulatedCluster.ControllerProcess n : w.controllers) {
                 n.restartAfter(1);
             }
         }
-        w.run(12);
-        leader.link = StateStandIn.Link.GOOD;
-        w.state.recover();
+        w.runFor(12);
+        leader.stateLink = FakeStateService.Link.HEALTHY;
+        w.stateService.recover();
         for (int i = 1; i <= 5; i++) {
-            String s = w.status(id(i), ANSWERED_S);
+            String s = w.pollStatus(id(i), ANSWERED_S);
             assertTrue(List.of("pending", "running", "done").contains(s), s);
         }
         jobs(w, 20, 2);
@@ -151,24 +154,24 @@
         SimulatedCluster w =
                 new SimulatedCluster(3, List.of(new Team("t", 0, 0, 0, 0, 1), new Team("u", 0, 0, 0, 0, 1)));
         w.cloud.capacity = 5;
-        w.runS = 8;
+        w.taskDurationS = 8;
         for (int i = 0; i < 4; i++) {
-            w.accept(id(100 + i), 20, false, Map.of("crew", team, "urgency", others));
+            w.submitUntilAccepted(id(100 + i), 20, false, Map.of("crew", team, "urgency", others));
         }
         Map<String, Object> big = new HashMap<>(Map.of("urgency", urgency));
         if (gang) {
             big.putAll(Map.of("vcpus", 4.0));
         }
-        w.accept(id(1), tasks, gang, big);
+        w.submitUntilAccepted(id(1), tasks, gang, big);
         for (int i = 0; i < 24; i++) {
-            w.accept(id(200 + i), 30, false, Map.of("crew", team, "urgency", others));
-            w.run(10);
-            if (w.status(id(1), 5).equals("running")) {
+            w.submitUntilAccepted(id(200 + i), 30, false, Map.of("crew", team, "urgency", others));
+            w.runFor(10);
+            if (w.pollStatus(id(1), 5).equals("running")) {
                 break;
             }
         }
-        assertTrue(List.of("running", "done").contains(w.status(id(1), 5)), w.status(id(1), 5));
-        assertEquals(List.of(), w.broken());
+        assertTrue(List.of("running", "done").contains(w.pollStatus(id(1), 5)), w.pollStatus(id(1), 5));
+        assertEquals(List.of(), w.violations());
     }
 
     /** Its reports arrive, but it hears nothing: it gets no more work, and what it had goes on elsewhere. */
@@ -176,27 +179,27 @@
     @CsvSource({"false, false", "true, false", "false, true", "true, true"})
     void aMachineThatHearsNothingIsNoticed(boolean gang, boolean fromTheStart) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 20;
-        w.accept(id(9), 1, false);
-        assertTrue(w.until(60, () -> !w.workers.isEmpty()));
+        w.taskDurationS = 20;
+        w.submitUntilAccepted(id(9), 1, false);
+        assertTrue(w.runUntil(60, () -> !w.workers.isEmpty()));
         SimulatedCluster.Worker deaf = w.workers.values().iterator().next();
-        w.run(4);
-        deaf.deaf = fromTheStart;
-        w.accept(id(1), gang ? 8 : 12, gang);
+        w.runFor(4);
+        deaf.inboundBlocked = fromTheStart;
+        w.submitUntilAccepted(id(1), gang ? 8 : 12, gang);
         if (!fromTheStart) {
-            assertTrue(w.until(60, () -> !deaf.tasks.isEmpty()));
-            deaf.deaf = true;
+            assertTrue(w.runUntil(60, () -> !deaf.tasks.isEmpty()));
+            deaf.inboundBlocked = true;
         }
         allDone(w, 1, 1, gang ? 130 : 90);
         allDone(w, 9, 1, 60);
         // Without any use it is given back, and no work is held up by it meanwhile.
-        int starts = deaf.starts;
-        w.accept(id(2), 12, false);
+        int starts = deaf.startCount;
+        w.submitUntilAccepted(id(2), 12, false);
         allDone(w, 2, 1, 90);
-        assertEquals(starts, deaf.starts);
+        assertEquals(starts, deaf.startCount);
         w.heldCommands.forEach(Runnable::run);
-        w.run(5);
-        assertEquals(List.of(), w.broken());
+        w.runFor(5);
+        assertEquals(List.of(), w.violations());
     }
 
     /** Orders sent directly to a worker that come late, with no answer: nothing runs twice or after its abort. */
@@ -214,29 +217,29 @@
     })
     void lateOrdersStraightToWorkersDoNoHarm(double lateS, boolean aborted, boolean newLeader) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.accept(id(9), 1, false);
-        w.run(12);
-        w.commandLateS = lateS;
-        w.runS = 15;
-        w.accept(id(1), 6, true);
-        w.accept(id(2), 4, true);
-        w.run(2);
+        w.submitUntilAccepted(id(9), 1, false);
+        w.runFor(12);
+        w.commandDelayS = lateS;
+        w.taskDurationS = 15;
+        w.submitUntilAccepted(id(1), 6, true);
+        w.submitUntilAccepted(id(2), 4, true);
+        w.runFor(2);
         if (aborted) {
-            w.nodes.get(0).abort(id(1));
+            w.controllers.get(0).cancel(id(1));
         }
         if (newLeader) {
             w.leader().restartAfter(1);
         }
-        w.run(40);
-        w.commandLateS = 0;
+        w.runFor(40);
+        w.commandDelayS = 0;
         if (aborted) {
-            assertEquals("withdrawn", w.status(id(1), ANSWERED_S));
+            assertEquals("withdrawn", w.pollStatus(id(1), ANSWERED_S));
         } else {
             allDone(w, 1, 1, 150);
         }
         allDone(w, 2, 1, 150);
-        w.run(70);
-        assertEquals(List.of(), w.broken());
+        w.runFor(70);
+        assertEquals(List.of(), w.violations());
     }
 
     /** Copies of old reports, to the same leader or a new one, prove, extend and revive nothing. */
@@ -244,40 +247,40 @@
     @CsvSource({"3, false", "3, true", "15, false", "15, true", "40, false", "40, true"})
     void lateCopiesOfReportsChangeNothing(double lateS, boolean newLeader) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 12;
+        w.taskDurationS = 12;
         jobs(w, 1, 8);
-        w.run(10);
+        w.runFor(10);
         List<Report> copies = new ArrayList<>();
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            copies.addAll(k.sent);
+            copies.addAll(k.sentReports);
         }
         if (newLeader) {
             w.leader().restartAfter(6);
         }
         // One machine of an older session, and one that is gone for good.
         SimulatedCluster.Worker cut = w.workers.values().iterator().next();
-        cut.cut = true;
-        w.in(14, () -> cut.cut = false);
+        cut.disconnected = true;
+        w.schedule(14, () -> cut.disconnected = false);
         for (Report r : copies) {
-            w.in(lateS, () -> {
-                for (SimulatedCluster.Node n : w.nodes) {
+            w.schedule(lateS, () -> {
+                for (SimulatedCluster.ControllerProcess n : w.controllers) {
                     if (n.up) {
                         n.controller.handleReport(r);
                     }
                 }
             });
         }
-        w.run(lateS + 1);
+        w.runFor(lateS + 1);
         allDone(w, 1, 8, 200);
-        w.run(90);
+        w.runFor(90);
         assertTrue(w.workers.size() <= 2, "idle machines are returned in spite of the copies");
         for (Report r : copies) {
-            for (SimulatedCluster.Node n : w.nodes) {
+            for (SimulatedCluster.ControllerProcess n : w.controllers) {
                 n.controller.handleReport(r);
             }
         }
-        w.run(30);
-        assertEquals(List.of(), w.broken());
+        w.runFor(30);
+        assertEquals(List.of(), w.violations());
     }
 
     /** Neither state service nor peers, but its workers: nothing starts, and an abort elsewhere holds in time. */
@@ -285,58 +288,59 @@
     @CsvSource({"12, false", "40, true", "70, true"})
     void aLeaderWithNothingButItsWorkersDoesNoHarm(double forS, boolean late) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 300;
-        w.accept(id(1), 8, false);
-        assertTrue(w.until(60, () -> w.status(id(1), 5).equals("running")));
-        w.run(5);
-        SimulatedCluster.Node old = w.leader();
-        old.link = StateStandIn.Link.SILENT;
+        w.taskDurationS = 300;
+        w.submitUntilAccepted(id(1), 8, false);
+        assertTrue(w.runUntil(60, () -> w.pollStatus(id(1), 5).equals("running")));
+        w.runFor(5);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        old.stateLink = FakeStateService.Link.PARTITIONED;
         old.cutFromPeers = true;
-        w.run(6);
-        int starts = w.workers.values().stream().mapToInt(k -> k.starts).sum();
-        SimulatedCluster.Node other =
-                w.nodes.stream().filter(n -> n != old).findFirst().orElseThrow();
-        assertTrue(w.until(10, () -> w.leader() != null && w.leader() != old), "another one leads");
+        w.runFor(6);
+        int starts = w.workers.values().stream().mapToInt(k -> k.startCount).sum();
+        SimulatedCluster.ControllerProcess other =
+                w.controllers.stream().filter(n -> n != old).findFirst().orElseThrow();
+        assertTrue(w.runUntil(10, () -> w.leader() != null && w.leader() != old), "another one leads");
         // Through the cut leader nobody gets an answer older than one given; none at all is right.
-        Map<String, Object> a = other.abort(id(1));
+        Map<String, Object> a = other.cancel(id(1));
         assertNotNull(a);
         assertEquals("withdrawn", a.get("status"));
         Map<String, Object> stale = old.poll(id(1));
         assertTrue(stale == null || (int) stale.get("code") != 200 || "withdrawn".equals(stale.get("status")));
-        w.accept(id(2), 2, false);
-        w.run(SimulatedCluster.CANCEL_S + 1);
+        w.submitUntilAccepted(id(2), 2, false);
+        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 1);
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            assertTrue(k.tasks.values().stream().noneMatch(t -> t.job.equals(id(1))), "gone in time");
+            assertTrue(k.tasks.values().stream().noneMatch(t -> t.jobId.equals(id(1))), "gone in time");
         }
         assertTrue(starts >= 8);
-        w.run(Math.max(0, forS - SimulatedCluster.CANCEL_S));
-        old.link = StateStandIn.Link.GOOD;
+        w.runFor(Math.max(0, forS - SimulatedCluster.CANCEL_DEADLINE_S));
+        old.stateLink = FakeStateService.Link.HEALTHY;
         old.cutFromPeers = false;
         if (late) {
-            w.state.heldBack.forEach(Runnable::run);
+            w.stateService.heldTransactions.forEach(Runnable::run);
         }
-        w.runS = 2;
-        w.run(5);
-        assertEquals("withdrawn", w.status(id(1), ANSWERED_S));
+        w.taskDurationS = 2;
+        w.runFor(5);
+        assertEquals("withdrawn", w.pollStatus(id(1), ANSWERED_S));
         assertEquals("withdrawn", old.poll(id(1)).get("status"));
         allDone(w, 2, 1, 100);
-        assertEquals(1, w.nodes.stream().filter(n -> n.controller.leads()).count());
+        assertEquals(
+                1, w.controllers.stream().filter(n -> n.controller.isLeading()).count());
     }
 
     /** A machine's worker is back at once as if new; late repeats of what was sent before do nothing. */
     @Test
     void aMachineBackWithinAFractionOfASecondStartsAnew() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 15;
-        w.accept(id(1), 8, false);
-        assertTrue(w.until(60, () -> w.status(id(1), 5).equals("running")));
+        w.taskDurationS = 15;
+        w.submitUntilAccepted(id(1), 8, false);
+        assertTrue(w.runUntil(60, () -> w.pollStatus(id(1), 5).equals("running")));
         for (SimulatedCluster.Worker k : new ArrayList<>(w.workers.values())) {
             k.tasks.clear();
             k.session++;
-            k.leaseFrom = w.now;
+            k.leaseStartS = w.nowS;
             k.token = 0;
         }
-        SimulatedCluster.Node leader = w.leader();
+        SimulatedCluster.ControllerProcess leader = w.leader();
         leader.restartAfter(0.2); // in the middle of it an election too
         allDone(w, 1, 1, 120);
     }
@@ -345,25 +349,25 @@
     @Test
     void lateRepeatsOfRequestsChangeNothing() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.accept(id(1), 3, false);
-        w.accept(id(2), 3, false);
-        w.run(2);
-        assertEquals("withdrawn", w.nodes.get(0).abort(id(2)).get("status"));
+        w.submitUntilAccepted(id(1), 3, false);
+        w.submitUntilAccepted(id(2), 3, false);
+        w.runFor(2);
+        assertEquals("withdrawn", w.controllers.get(0).cancel(id(2)).get("status"));
         allDone(w, 1, 1, 60);
-        w.run(40);
-        for (SimulatedCluster.Node n : w.nodes) {
+        w.runFor(40);
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
             n.restartAfter(0.3);
         }
-        w.run(10);
-        for (SimulatedCluster.Node n : w.nodes) {
+        w.runFor(10);
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
             assertEquals("done", n.submit(id(1), 3, false).get("status"));
-            assertEquals("done", n.abort(id(1)).get("status"));
+            assertEquals("done", n.cancel(id(1)).get("status"));
             assertEquals("withdrawn", n.submit(id(2), 3, false).get("status"));
-            assertEquals("withdrawn", n.abort(id(2)).get("status"));
+            assertEquals("withdrawn", n.cancel(id(2)).get("status"));
             assertEquals(404, n.poll(id(3)).get("code"));
-            assertEquals(404, n.abort(id(3)).get("code"));
+            assertEquals(404, n.cancel(id(3)).get("code"));
         }
-        assertEquals(List.of(), w.broken());
+        assertEquals(List.of(), w.violations());
     }
 
     /** What is wrong with a body is said at once; what a job that was accepted looks like later changes nothing. */
@@ -385,8 +389,8 @@
     })
     void submissionsAreJudgedAtOnce(String what, int code) {
         SimulatedCluster w = new SimulatedCluster(3, List.of(new Team("t", 0, 40, 0, 0, 1)));
-        w.run(5);
-        SimulatedCluster.Node n = w.nodes.get(1);
+        w.runFor(5);
+        SimulatedCluster.ControllerProcess n = w.controllers.get(1);
         Map<String, Object> more = new HashMap<>();
         switch (what) {
             case "field missing" -> more.put("urgency", null);
@@ -408,26 +412,26 @@
                     case "gang over limit", "array over limit" -> 41;
                     default -> 3;
                 };
-        double asked = w.now;
+        double asked = w.nowS;
         Map<String, Object> a = what.equals("not CBOR")
                 ? n.ask(r -> n.users.submit(new byte[] {-1, 3}, r))
                 : n.submit(id(1), tasks, what.startsWith("gang"), more);
         assertEquals(code, a.get("code"));
-        assertTrue(w.now - asked < 0.6);
+        assertTrue(w.nowS - asked < 0.6);
     }
 
     /** More than a node's part of the budget is refused at once, with none of it lost. */
     @Test
     void whatPassesTheBudgetIsRefusedAtOnce() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.run(5);
+        w.runFor(5);
         List<Integer> codes = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            w.nodes.get(1).users.poll(id(500 + i), answer -> codes.add(UserAnswerCodec.status(answer)));
+            w.controllers.get(1).users.poll(id(500 + i), answer -> codes.add(UserResponseCodec.status(answer)));
         }
         long refused = codes.stream().filter(c -> c == 429).count();
         assertTrue(refused > 100, "at once, before any answer of the state service");
-        w.run(2);
+        w.runFor(2);
         assertEquals(400, codes.size());
         assertEquals(400 - refused, codes.stream().filter(c -> c == 404).count());
     }
@@ -437,17 +441,17 @@
     @ValueSource(strings = {"outage", "refused"})
     void whatCannotBeServedIsAnsweredAtOnce(String trouble) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.accept(id(1), 3, false);
-        w.run(5);
+        w.submitUntilAccepted(id(1), 3, false);
+        w.runFor(5);
         if (trouble.equals("outage")) {
-            w.state.outage = true;
+            w.stateService.outage = true;
         } else {
-            w.nodes.forEach(n -> n.link = StateStandIn.Link.REFUSED);
+            w.controllers.forEach(n -> n.stateLink = FakeStateService.Link.REFUSED);
         }
-        double asked = w.now;
-        assertEquals(503, w.nodes.get(1).submit(id(7), 3, false).get("code"));
-        assertEquals(503, w.nodes.get(1).abort(id(1)).get("code"));
-        assertTrue(w.now - asked < 1.1);
+        double asked = w.nowS;
+        assertEquals(503, w.controllers.get(1).submit(id(7), 3, false).get("code"));
+        assertEquals(503, w.controllers.get(1).cancel(id(1)).get("code"));
+        assertTrue(w.nowS - asked < 1.1);
     }
 
     /** A leader that has ended is missed for less than its hold lasts, and is not taken for ended by a filter. */
@@ -455,18 +459,18 @@
     @CsvSource({"3, false", "7, false", "3, true", "7, true"})
     void anEndedLeaderIsReplacedSoonButNotOneBehindAFilter(int controllers, boolean filter) {
         SimulatedCluster w = new SimulatedCluster(controllers);
-        w.accept(id(1), 2, false);
-        w.run(10);
-        SimulatedCluster.Node old = w.leader();
+        w.submitUntilAccepted(id(1), 2, false);
+        w.runFor(10);
+        SimulatedCluster.ControllerProcess old = w.leader();
         long token = old.token();
         if (filter) {
-            w.peersRefuse = true;
+            w.peersRefuseConnections = true;
         } else {
             old.kill();
         }
-        w.run(3.4);
+        w.runFor(3.4);
         if (filter) {
-            w.run(20);
+            w.runFor(20);
             assertEquals(token, w.leader().token());
         } else {
             assertNotNull(w.leader());
@@ -495,43 +499,43 @@
     })
     void aLeaderThatStoodStillDoesNoHarm(double forS, String at, boolean aborted) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 12;
+        w.taskDurationS = 12;
         jobs(w, 1, 6);
-        w.run(10);
-        SimulatedCluster.Node old = w.leader();
-        old.freezeForS = forS;
+        w.runFor(10);
+        SimulatedCluster.ControllerProcess old = w.leader();
+        old.pauseDurationS = forS;
         if (at.equals("any")) {
-            old.freeze(forS);
+            old.pause(forS);
         } else {
-            old.freezeAt = at;
+            old.pauseBeforePath = at;
         }
-        List<SimulatedCluster.Node> others =
-                w.nodes.stream().filter(n -> n != old).toList();
+        List<SimulatedCluster.ControllerProcess> others =
+                w.controllers.stream().filter(n -> n != old).toList();
         for (int i = 20; i < 24; i++) {
             assertEquals(201, others.get(0).submit(id(i), 5, i % 2 == 0).get("code"));
         }
-        assertTrue(w.until(8, () -> old.frozenUntil > 0));
-        w.run(1);
-        SimulatedCluster.Node other = others.get(1);
+        assertTrue(w.runUntil(8, () -> old.pausedUntilS > 0));
+        w.runFor(1);
+        SimulatedCluster.ControllerProcess other = others.get(1);
         if (aborted) {
             for (int i = 20; i < 22; i++) {
-                assertEquals("withdrawn", other.abort(id(i)).get("status"));
+                assertEquals("withdrawn", other.cancel(id(i)).get("status"));
             }
         }
-        w.run(Math.max(0, old.frozenUntil - w.now - 0.001));
+        w.runFor(Math.max(0, old.pausedUntilS - w.nowS - 0.001));
         // The first that it reads on waking is what waited in its sockets.
         if (forS > 4) {
-            w.now = old.frozenUntil;
+            w.nowS = old.pausedUntilS;
             for (SimulatedCluster.Worker k : w.workers.values()) {
                 assertFalse(
-                        old.controller.handleReport(k.report()) instanceof Controller.ReportAnswer.Orders,
+                        old.controller.handleReport(k.createReport()) instanceof Controller.ReportResponse.Commands,
                         "no answer on old belief");
             }
         }
-        w.run(40);
+        w.runFor(40);
         for (int i = 20; i < 22; i++) {
             if (aborted) {
-                assertEquals("withdrawn", w.status(id(i), ANSWERED_S));
+                assertEquals("withdrawn", w.pollStatus(id(i), ANSWERED_S));
             }
         }
         allDone(w, 1, 6, 200);
@@ -543,32 +547,33 @@
     @ValueSource(ints = {3, 7})
     void aLeaderWithoutItsWorkersGivesUpInTime(int controllers) {
         SimulatedCluster w = new SimulatedCluster(controllers, List.of(new Team("t", 0, 0, 0, 0, 1)), 22);
-        w.runS = 80;
-        w.accept(id(1), 16, false);
-        assertTrue(w.until(
-                60, () -> w.workers.values().stream().mapToInt(k -> k.starts).sum() == 16));
-        w.run(15);
-        SimulatedCluster.Node old = w.leader();
+        w.taskDurationS = 80;
+        w.submitUntilAccepted(id(1), 16, false);
+        assertTrue(w.runUntil(
+                60,
+                () -> w.workers.values().stream().mapToInt(k -> k.startCount).sum() == 16));
+        w.runFor(15);
+        SimulatedCluster.ControllerProcess old = w.leader();
         old.cutFromWorkers = true;
-        w.in(37, () -> old.cutFromWorkers = false);
-        assertTrue(w.until(14, () -> w.leader() != null && w.leader() != old), "another one leads");
+        w.schedule(37, () -> old.cutFromWorkers = false);
+        assertTrue(w.runUntil(14, () -> w.leader() != null && w.leader() != old), "another one leads");
         allDone(w, 1, 1, 120);
-        assertEquals(16, w.workers.values().stream().mapToInt(k -> k.starts).sum(), "nothing was lost");
+        assertEquals(16, w.workers.values().stream().mapToInt(k -> k.startCount).sum(), "nothing was lost");
     }
 
     /** A leader whose machines are all cut off from everybody has nobody to give way to. */
     @Test
     void aLeaderWhoseMachinesAreAllCutOffGoesOn() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 30;
-        w.accept(id(1), 16, false);
-        w.run(25);
+        w.taskDurationS = 30;
+        w.submitUntilAccepted(id(1), 16, false);
+        w.runFor(25);
         long token = w.leader().token();
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.cut = true;
-            w.in(20, () -> k.cut = false);
+            k.disconnected = true;
+            w.schedule(20, () -> k.disconnected = false);
         }
-        w.run(40);
+        w.runFor(40);
         assertEquals(token, w.leader().token());
         allDone(w, 1, 1, 120);
     }
@@ -578,44 +583,44 @@
     @ValueSource(doubles = {0.2, 8})
     void aNewLeaderKeepsTheMachinesThereAre(double back) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 25;
-        w.accept(id(1), 40, false, Map.of("dueS", 35.0));
-        assertTrue(w.until(60, () -> w.status(id(1), 5).equals("done")));
-        w.runS = 6;
-        int rented = w.rented;
+        w.taskDurationS = 25;
+        w.submitUntilAccepted(id(1), 40, false, Map.of("dueS", 35.0));
+        assertTrue(w.runUntil(60, () -> w.pollStatus(id(1), 5).equals("done")));
+        w.taskDurationS = 6;
+        int rented = w.machinesRented;
         List<String> there = List.copyOf(w.workers.keySet());
         assertTrue(there.size() >= 5, "idle machines are left");
-        w.leader().link = StateStandIn.Link.SILENT; // what is asked now is left to the next leader
-        w.nodes.stream()
+        w.leader().stateLink = FakeStateService.Link.PARTITIONED; // what is asked now is left to the next leader
+        w.controllers.stream()
                 .filter(n -> n != w.leader())
                 .findFirst()
                 .orElseThrow()
                 .submit(id(3), 4 * there.size(), false, Map.of("dueS", 20.0));
-        w.leader().link = StateStandIn.Link.GOOD;
+        w.leader().stateLink = FakeStateService.Link.HEALTHY;
         w.leader().restartAfter(back);
-        w.run(8);
+        w.runFor(8);
         assertEquals(there, List.copyOf(w.workers.keySet()));
         allDone(w, 3, 1, 60);
-        assertEquals(rented, w.rented, "rented again");
+        assertEquals(rented, w.machinesRented, "rented again");
     }
 
     /** Its own silence is not the machines': nothing is given up for it, though it still leads on waking. */
     @Test
     void aLeaderThatStoodStillAmidAnOutageCountsNoSilenceOfItsOwn() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 60;
-        w.accept(id(1), 12, false);
-        assertTrue(w.until(60, () -> w.status(id(1), 5).equals("running")));
-        w.run(5);
-        SimulatedCluster.Node old = w.leader();
+        w.taskDurationS = 60;
+        w.submitUntilAccepted(id(1), 12, false);
+        assertTrue(w.runUntil(60, () -> w.pollStatus(id(1), 5).equals("running")));
+        w.runFor(5);
+        SimulatedCluster.ControllerProcess old = w.leader();
         long token = old.token();
         List<String> before = List.copyOf(w.workers.keySet());
-        w.state.outage = true;
-        w.run(1);
-        old.freeze(28);
-        w.run(27);
-        w.state.recover();
-        w.run(8);
+        w.stateService.outage = true;
+        w.runFor(1);
+        old.pause(28);
+        w.runFor(27);
+        w.stateService.recover();
+        w.runFor(8);
         assertEquals(token, w.leader().token());
         assertEquals(before, List.copyOf(w.workers.keySet()));
         allDone(w, 1, 1, 200);
@@ -625,22 +630,22 @@
     @Test
     void aRoomThatIsCutOffAmidAnElectionIsNotRentedTwice() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 25;
-        w.accept(id(1), 40, false, Map.of("dueS", 35.0));
-        assertTrue(w.until(60, () -> w.status(id(1), 5).equals("done")));
-        int rented = w.rented;
+        w.taskDurationS = 25;
+        w.submitUntilAccepted(id(1), 40, false, Map.of("dueS", 35.0));
+        assertTrue(w.runUntil(60, () -> w.pollStatus(id(1), 5).equals("done")));
+        int rented = w.machinesRented;
         List<String> there = List.copyOf(w.workers.keySet());
         assertTrue(there.size() >= 5, "idle machines are left");
         for (SimulatedCluster.Worker k : w.workers.values()) {
-            k.cut = true;
-            w.in(60, () -> k.cut = false);
+            k.disconnected = true;
+            w.schedule(60, () -> k.disconnected = false);
         }
         w.leader().restartAfter(3);
-        w.accept(id(2), 20, false);
-        w.run(65);
+        w.submitUntilAccepted(id(2), 20, false);
+        w.runFor(65);
         assertEquals(there, List.copyOf(w.workers.keySet()));
         allDone(w, 2, 1, 90);
-        assertEquals(rented, w.rented, "rented again");
+        assertEquals(rented, w.machinesRented, "rented again");
     }
 
     /** Machines hang and go on: within the lease the tasks are alive, after it the session is another. */
@@ -656,26 +661,27 @@
     })
     void machinesThatHangRunNothingTwice(double forS, boolean gang, boolean newLeader) {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.runS = 25;
-        w.accept(id(1), 12, gang);
-        assertTrue(w.until(
-                60, () -> w.workers.values().stream().mapToInt(k -> k.starts).sum() == 12));
-        w.run(3);
+        w.taskDurationS = 25;
+        w.submitUntilAccepted(id(1), 12, gang);
+        assertTrue(w.runUntil(
+                60,
+                () -> w.workers.values().stream().mapToInt(k -> k.startCount).sum() == 12));
+        w.runFor(3);
         List<SimulatedCluster.Worker> hung = new ArrayList<>(w.workers.values());
         for (SimulatedCluster.Worker k : hung) {
-            k.hangsUntil = w.now + forS;
+            k.hungUntilS = w.nowS + forS;
         }
-        w.run(1);
+        w.runFor(1);
         if (newLeader) {
             w.leader().restartAfter(0.3);
         }
         allDone(w, 1, 1, 200);
-        int starts = w.workers.values().stream().mapToInt(k -> k.starts).sum();
-        if (forS < w.leaseS - 2.5 && !newLeader) {
+        int starts = w.workers.values().stream().mapToInt(k -> k.startCount).sum();
+        if (forS < w.workerLeaseS - 2.5 && !newLeader) {
             assertEquals(12, starts, "nothing was given up");
         }
-        w.run(60);
-        assertEquals(List.of(), w.broken());
+        w.runFor(60);
+        assertEquals(List.of(), w.violations());
     }
 
     /** Many machines stop at the same moment: gangs are placed again as wholes, and only what waits is rented for. */
@@ -684,26 +690,29 @@
     void manyMachinesLostTogether(int die, int cut, double cutS) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.capacity = 60;
-        w.runS = 25;
+        w.taskDurationS = 25;
         for (int i = 1; i <= 4; i++) {
-            w.accept(id(i), 8, true);
+            w.submitUntilAccepted(id(i), 8, true);
         }
-        w.accept(id(5), 48, false);
-        assertTrue(w.until(
-                60, () -> w.workers.values().stream().mapToInt(k -> k.starts).sum() >= 80));
+        w.submitUntilAccepted(id(5), 48, false);
+        assertTrue(w.runUntil(
+                60,
+                () -> w.workers.values().stream().mapToInt(k -> k.startCount).sum() >= 80));
         int before = w.workers.size();
         int n = 0;
         for (SimulatedCluster.Worker k : new ArrayList<>(w.workers.values())) {
             if (n < die) {
-                k.die();
+                k.crash();
             } else if (n < die + cut) {
-                k.cut = true;
-                w.in(cutS, () -> k.cut = false);
+                k.disconnected = true;
+                w.schedule(cutS, () -> k.disconnected = false);
             }
             n++;
         }
         allDone(w, 1, 5, 240);
-        assertTrue(w.rented <= before + die + cut + 4, "rented " + w.rented + " of " + before + " at first");
+        assertTrue(
+                w.machinesRented <= before + die + cut + 4,
+                "rented " + w.machinesRented + " of " + before + " at first");
     }
 
     /** What fails every task or runs it slowly is kept from work and returned; a bad job condemns no machine. */
@@ -712,20 +721,20 @@
     void badMachinesAreNoticedFromOutcomes(boolean sick, double slow, boolean badJob) {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.capacity = 6;
-        w.runS = 5;
-        w.accept(id(1), 800, false);
-        assertTrue(w.until(60, () -> w.workers.size() == 6));
-        w.run(8);
+        w.taskDurationS = 5;
+        w.submitUntilAccepted(id(1), 800, false);
+        assertTrue(w.runUntil(60, () -> w.workers.size() == 6));
+        w.runFor(8);
         SimulatedCluster.Worker bad = w.workers.values().iterator().next();
         List<String> good =
                 w.workers.keySet().stream().filter(k -> !k.equals(bad.name)).toList();
-        bad.sick = sick;
-        bad.slow = slow;
+        bad.failsAllTasks = sick;
+        bad.slowdownFactor = slow;
         if (badJob) {
-            w.faulty.add(id(2));
-            w.accept(id(2), 30, false);
+            w.failingJobs.add(id(2));
+            w.submitUntilAccepted(id(2), 30, false);
         }
-        w.run(95);
+        w.runFor(95);
         assertEquals(!sick && slow == 1, w.workers.containsKey(bad.name));
         assertTrue(w.workers.keySet().containsAll(good));
         allDone(w, 1, 1, 400);
@@ -736,15 +745,16 @@
     void aNewLeaderTakesNoMachineForSlow() {
         SimulatedCluster w = new SimulatedCluster(3);
         w.cloud.capacity = 12;
-        w.runS = 12;
-        w.accept(id(1), 600, false, Map.of("dueS", 60.0));
-        assertTrue(w.until(60, () -> w.workers.size() == 12));
+        w.taskDurationS = 12;
+        w.submitUntilAccepted(id(1), 600, false, Map.of("dueS", 60.0));
+        assertTrue(w.runUntil(60, () -> w.workers.size() == 12));
         List<String> there = List.copyOf(w.workers.keySet());
-        assertTrue(w.until(
-                30, () -> w.workers.values().stream().mapToInt(k -> k.starts).sum() >= 48));
-        w.run(7);
+        assertTrue(w.runUntil(
+                30,
+                () -> w.workers.values().stream().mapToInt(k -> k.startCount).sum() >= 48));
+        w.runFor(7);
         w.leader().restartAfter(0.5);
-        w.run(100);
+        w.runFor(100);
         assertTrue(w.workers.keySet().containsAll(there), "all are kept");
         allDone(w, 1, 1, 400);
     }
@@ -752,11 +762,11 @@
     @Test
     void tokensGrowStrictlyFromTermToTerm() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.accept(id(1), 2, false);
-        assertTrue(w.until(60, () -> w.status(id(1), 5).equals("running")));
+        w.submitUntilAccepted(id(1), 2, false);
+        assertTrue(w.runUntil(60, () -> w.pollStatus(id(1), 5).equals("running")));
         long before = w.leader().token();
         w.leader().restartAfter(0.2);
-        w.run(10);
+        w.runFor(10);
         assertTrue(w.leader().token() > before, "a later term has a higher token");
         assertFalse(w.workers.values().stream().anyMatch(k -> k.token < before));
     }
--- a/src/test/java/org/mountlug/node/UpgradeTest.java
+++ b/src/test/java/org/mountlug/node/UpgradeTest.java
@@ -24,7 +24,7 @@
     private static SimulatedCluster old(int controllers) {
         SimulatedCluster w =
                 new SimulatedCluster(controllers, List.of(new Team("t", 0, 0, 0, 0, 1)), 10, true, LEAST_KB, LEAST_OPS);
-        w.runS = 9;
+        w.taskDurationS = 9;
         return w;
     }
 
@@ -35,9 +35,11 @@
     private static void allDone(SimulatedCluster w, int from, int to, double mostS) {
         for (int i = from; i <= to; i++) {
             String id = id(i);
-            assertTrue(w.until(mostS, () -> w.status(id, 5).equals("done")), () -> id + " is " + w.status(id, 5));
+            assertTrue(
+                    w.runUntil(mostS, () -> w.pollStatus(id, 5).equals("done")),
+                    () -> id + " is " + w.pollStatus(id, 5));
         }
-        assertEquals(List.of(), w.broken());
+        assertEquals(List.of(), w.violations());
     }
 
     /** Controllers go over one by one, the leader first, last or in its turn; others end out of turn and come back old. */
@@ -46,11 +48,11 @@
     void jobsOutliveTheUpgrade(String leader, double apart, String alsoEnds) {
         SimulatedCluster w = old(5);
         for (int i = 1; i <= 6; i++) {
-            w.accept(id(i), i * 30, i % 3 == 0 && i < 6, Map.of("vcpus", i % 3 == 0 ? 0.5 : 1.0));
+            w.submitUntilAccepted(id(i), i * 30, i % 3 == 0 && i < 6, Map.of("vcpus", i % 3 == 0 ? 0.5 : 1.0));
         }
-        w.run(8);
-        List<SimulatedCluster.Node> order = new ArrayList<>(w.nodes);
-        SimulatedCluster.Node first = w.leader();
+        w.runFor(8);
+        List<SimulatedCluster.ControllerProcess> order = new ArrayList<>(w.controllers);
+        SimulatedCluster.ControllerProcess first = w.leader();
         if (!leader.equals("any") && first != null) {
             order.remove(first);
             order.add(leader.equals("first") ? 0 : order.size(), first);
@@ -63,40 +65,40 @@
             if (alsoEnds.equals("new") && i > 0) {
                 order.get(i - 1).restartAfter(0.2);
             }
-            w.run(apart);
+            w.runFor(apart);
         }
-        w.run(15);
-        assertEquals(5, w.state.keys("v/").size());
-        w.state.lower(LEAST_KB, LEAST_OPS);
-        w.accept(id(7), 120, false);
-        w.accept(id(8), 4, false, Map.of("shape", "daemon", "urgency", "prod", "expectedS", 0.0));
+        w.runFor(15);
+        assertEquals(5, w.stateService.keys("v/").size());
+        w.stateService.setSizeLimits(LEAST_KB, LEAST_OPS);
+        w.submitUntilAccepted(id(7), 120, false);
+        w.submitUntilAccepted(id(8), 4, false, Map.of("shape", "daemon", "urgency", "prod", "expectedS", 0.0));
         allDone(w, 1, 7, 300);
-        assertEquals("running", w.status(id(8), 5));
-        assertEquals(0, w.state.refused);
+        assertEquals("running", w.pollStatus(id(8), 5));
+        assertEquals(0, w.stateService.oversizedWritesRefused);
         // Nothing of a job that is over is left.
         assertTrue(
-                w.until(60, () -> w.state.keys("p/").isEmpty()),
-                () -> w.state.keys("p/").toString());
+                w.runUntil(60, () -> w.stateService.keys("p/").isEmpty()),
+                () -> w.stateService.keys("p/").toString());
     }
 
     /** Until the last one has gone over, all is written as production reads it, whoever leads. */
     @Test
     void nothingNewIsWrittenWhileOneCannotReadIt() {
         SimulatedCluster w = old(3);
-        w.accept(id(1), 150, false);
-        w.run(5);
-        w.nodes.get(0).upgradeAfter(1);
-        w.nodes.get(1).upgradeAfter(3);
-        w.run(20);
+        w.submitUntilAccepted(id(1), 150, false);
+        w.runFor(5);
+        w.controllers.get(0).upgradeAfter(1);
+        w.controllers.get(1).upgradeAfter(3);
+        w.runFor(20);
         for (int i = 0; i < 4; i++) { // the leader changes in both directions
-            SimulatedCluster.Node l = w.leader();
+            SimulatedCluster.ControllerProcess l = w.leader();
             if (l != null) {
                 l.restartAfter(1);
             }
-            w.run(12);
+            w.runFor(12);
         }
-        assertEquals(List.of(), w.state.keys("p/"));
-        assertEquals(2, w.state.keys("v/").size());
+        assertEquals(List.of(), w.stateService.keys("p/"));
+        assertEquals(2, w.stateService.keys("v/").size());
         allDone(w, 1, 1, 200);
     }
 
@@ -108,71 +110,76 @@
     @ValueSource(strings = {"finishes", "called off", "called off by all", "leader ends in mid-switch", "outage"})
     void recordsThatAreTooLargeAreDealtWith(String what) {
         SimulatedCluster w = old(3);
-        w.runS = 25;
+        w.taskDurationS = 25;
         w.cloud.capacity = 100;
-        w.accept(id(1), 160, false, Map.of("ramGb", 16.0, "lane", "l".repeat(100), "bundle", "b".repeat(100)));
-        w.accept(id(2), 4, false);
+        w.submitUntilAccepted(
+                id(1), 160, false, Map.of("ramGb", 16.0, "lane", "l".repeat(100), "bundle", "b".repeat(100)));
+        w.submitUntilAccepted(id(2), 4, false);
         assertTrue(
-                w.until(60, () -> org.mountlug.wire.Json.length(w.state.value("j/" + id(1))) > LEAST_KB * 1024),
-                () -> "largest value " + w.state.largestValue + ", machines " + w.workers.size());
-        Collections.shuffle(w.nodes, new java.util.Random(3));
-        for (SimulatedCluster.Node n : w.nodes) {
+                w.runUntil(
+                        60, () -> org.mountlug.wire.Json.length(w.stateService.value("j/" + id(1))) > LEAST_KB * 1024),
+                () -> "largest value " + w.stateService.largestValueBytes + ", machines " + w.workers.size());
+        Collections.shuffle(w.controllers, new java.util.Random(3));
+        for (SimulatedCluster.ControllerProcess n : w.controllers) {
             n.upgradeAfter(0.5);
         }
-        w.state.lower(LEAST_KB, LEAST_OPS);
-        w.run(1);
+        w.stateService.setSizeLimits(LEAST_KB, LEAST_OPS);
+        w.runFor(1);
         switch (what) {
             case "called off", "called off by all" -> {
-                List<SimulatedCluster.Node> asked = what.equals("called off") ? w.nodes.subList(0, 1) : w.nodes;
-                for (SimulatedCluster.Node n : asked) {
+                List<SimulatedCluster.ControllerProcess> asked =
+                        what.equals("called off") ? w.controllers.subList(0, 1) : w.controllers;
+                for (SimulatedCluster.ControllerProcess n : asked) {
                     assertTrue(
-                            w.until(40, () -> {
-                                Map<String, Object> a = n.abort(id(1));
+                            w.runUntil(40, () -> {
+                                Map<String, Object> a = n.cancel(id(1));
                                 return a != null && "withdrawn".equals(a.get("status"));
                             }),
                             "not called off");
                 }
             }
             case "leader ends in mid-switch" -> {
-                assertTrue(w.until(40, () -> !w.state.keys("p/").isEmpty()));
-                w.nodes.forEach(n -> n.restartAfter(0.4));
+                assertTrue(w.runUntil(40, () -> !w.stateService.keys("p/").isEmpty()));
+                w.controllers.forEach(n -> n.restartAfter(0.4));
             }
             case "outage" -> {
-                w.state.outage = true;
-                w.in(12, w.state::recover);
+                w.stateService.outage = true;
+                w.schedule(12, w.stateService::recover);
             }
             default -> {}
         }
-        w.accept(id(3), 40, false);
+        w.submitUntilAccepted(id(3), 40, false);
         if (what.startsWith("called off")) {
-            w.run(SimulatedCluster.CANCEL_S);
-            assertEquals("withdrawn", w.status(id(1), 75));
+            w.runFor(SimulatedCluster.CANCEL_DEADLINE_S);
+            assertEquals("withdrawn", w.pollStatus(id(1), 75));
             allDone(w, 2, 3, 600);
         } else {
             allDone(w, 1, 3, 600);
         }
         assertTrue(
-                w.until(60, () -> w.state.keys("p/").isEmpty()),
-                () -> w.state.keys("p/").toString());
+                w.runUntil(60, () -> w.stateService.keys("p/").isEmpty()),
+                () -> w.stateService.keys("p/").toString());
     }
 
     /** A change that the state service never takes keeps nobody else's from being written, and nobody from leading. */
     @Test
     void aRefusedChangeStopsNobodyElse() {
         SimulatedCluster w = new SimulatedCluster(3);
-        w.accept(id(1), 4, false);
-        w.run(10);
-        SimulatedCluster.Node leader = w.leader();
+        w.submitUntilAccepted(id(1), 4, false);
+        w.runFor(10);
+        SimulatedCluster.ControllerProcess leader = w.leader();
         long token = leader.token();
-        w.accept(id(2), 60, false, Map.of("lane", "l".repeat(100)));
-        w.accept(id(3), 1, false);
-        w.state.lower(0.3, 8); // whatever the settings say, only the smallest records fit until it is raised again
-        w.run(40);
-        int refused = w.state.refused;
-        assertTrue(refused > 0 && refused < 30, refused + " refused, largest value " + w.state.largestValue);
-        assertEquals("done", w.status(id(3), 5));
+        w.submitUntilAccepted(id(2), 60, false, Map.of("lane", "l".repeat(100)));
+        w.submitUntilAccepted(id(3), 1, false);
+        w.stateService.setSizeLimits(
+                0.3, 8); // whatever the settings say, only the smallest records fit until it is raised again
+        w.runFor(40);
+        int refused = w.stateService.oversizedWritesRefused;
+        assertTrue(
+                refused > 0 && refused < 30, refused + " refused, largest value " + w.stateService.largestValueBytes);
+        assertEquals("done", w.pollStatus(id(3), 5));
         assertEquals(token, w.leader().token());
-        w.state.lower(8, 8);
+        w.stateService.setSizeLimits(8, 8);
         allDone(w, 1, 3, 120);
     }
 }
--- a/src/test/java/org/mountlug/node/ZoneLossTest.java
+++ b/src/test/java/org/mountlug/node/ZoneLossTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.allStarted;
-import static org.mountlug.node.FaultScenario.end;
-import static org.mountlug.node.FaultScenario.id;
-import static org.mountlug.node.FaultScenario.other;
+import static org.mountlug.node.FaultTestSteps.assertSettles;
+import static org.mountlug.node.FaultTestSteps.jobId;
+import static org.mountlug.node.FaultTestSteps.otherController;
+import static org.mountlug.node.FaultTestSteps.runUntilStarted;
 
 import java.util.HashMap;
 import java.util.List;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.mountlug.core.model.Report;
-import org.mountlug.core.zone.RampLimits;
+import org.mountlug.core.zone.RampSettings;
 import org.mountlug.core.zone.ZoneSettings;
 import org.mountlug.core.zone.ZoneState;
 import org.mountlug.core.zone.ZoneThresholds;
@@ -29,40 +29,41 @@
  */
 class ZoneLossTest {
     private static final ZoneThresholds THRESHOLDS = new ZoneThresholds(3, 0.5, 0.8, 0.25, 0.5, 3, 4, 60, 120);
-    private static final ZoneSettings ON = new ZoneSettings(true, List.of(), THRESHOLDS, new RampLimits(0.1, 0.1, 0.5));
+    private static final ZoneSettings ON =
+            new ZoneSettings(true, List.of(), THRESHOLDS, new RampSettings(0.1, 0.1, 0.5));
     /** A ramp slow enough that a test can do something in the middle of it. */
     private static final ZoneSettings SLOW_RAMP =
-            new ZoneSettings(true, List.of(), THRESHOLDS, new RampLimits(0.05, 0.05, 1));
+            new ZoneSettings(true, List.of(), THRESHOLDS, new RampSettings(0.05, 0.05, 1));
 
     private static final int URGENT = 1;
 
     /** 6 machines a zone with work of two classes for all and more waiting, no machine to be had. */
     private static ZoneScenario crowded(ZoneSettings settings) {
         ZoneScenario scenario = new ZoneScenario(3, 6, settings);
-        scenario.cluster.cloud.refusing.addAll(ZoneScenario.ZONES);
-        scenario.cluster.runS = 24;
-        scenario.array(URGENT, "proofs", "high", 10);
-        scenario.array(2, "parts", "standard", 60);
-        scenario.array(3, "parts", "standard", 60);
-        assertTrue(allStarted(scenario.cluster, 72));
-        scenario.cluster.run(3);
+        scenario.cluster.cloud.zonesRefusingRentals.addAll(ZoneScenario.ZONES);
+        scenario.cluster.taskDurationS = 24;
+        scenario.submitArray(URGENT, "proofs", "high", 10);
+        scenario.submitArray(2, "parts", "standard", 60);
+        scenario.submitArray(3, "parts", "standard", 60);
+        assertTrue(runUntilStarted(scenario.cluster, 72));
+        scenario.cluster.runFor(3);
         return scenario;
     }
 
     /** Starts of the later class while a displaced task of the first one has waited for longer than any start takes. */
     private static long inversions(ZoneScenario scenario, boolean urgentFirst, double cutAt) {
-        double openFrom = cutAt + scenario.cluster.leaseS + 1 + ZoneScenario.START_DELAY_S;
+        double openFrom = cutAt + scenario.cluster.workerLeaseS + 1 + ZoneScenario.START_DELAY_S;
         double restarted = 0;
-        for (SimulatedCluster.Start start : scenario.cluster.startLog) {
-            boolean first = start.job().equals(id(URGENT)) == urgentFirst;
-            if (first && start.at() > openFrom) {
-                restarted = Math.max(restarted, start.at());
+        for (SimulatedCluster.TaskStart start : scenario.cluster.startLog) {
+            boolean first = start.jobId().equals(jobId(URGENT)) == urgentFirst;
+            if (first && start.atS() > openFrom) {
+                restarted = Math.max(restarted, start.atS());
             }
         }
         double until = restarted - ZoneScenario.START_DELAY_S;
         return scenario.cluster.startLog.stream()
-                .filter(start -> start.job().equals(id(URGENT)) != urgentFirst)
-                .filter(start -> start.at() > openFrom && start.at() < until)
+                .filter(start -> start.jobId().equals(jobId(URGENT)) != urgentFirst)
+                .filter(start -> start.atS() > openFrom && start.atS() < until)
                 .count();
     }
 
@@ -71,44 +72,46 @@
     @ValueSource(strings = {"", "parts"})
     void displacedWorkLandsInOrder(String first) {
         ZoneScenario scenario = crowded(new ZoneSettings(
-                true, first.isEmpty() ? List.of() : List.of(first), THRESHOLDS, RampLimits.defaults()));
-        Map<String, List<Integer>> displaced = scenario.held("a");
-        assertTrue(displaced.containsKey(id(URGENT)) && displaced.size() > 1, "both classes are displaced");
-        double cutAt = scenario.cluster.now;
-        assertTrue(scenario.lose("a"));
-        scenario.cluster.run(60);
+                true, first.isEmpty() ? List.of() : List.of(first), THRESHOLDS, RampSettings.defaults()));
+        Map<String, List<Integer>> displaced = scenario.activeTasksByJob("a");
+        assertTrue(displaced.containsKey(jobId(URGENT)) && displaced.size() > 1, "both classes are displaced");
+        double cutAt = scenario.cluster.nowS;
+        assertTrue(scenario.isolateUntilLost("a"));
+        scenario.cluster.runFor(60);
         assertEquals(0, inversions(scenario, first.isEmpty(), cutAt));
-        for (int index : displaced.get(id(URGENT))) {
-            double restartedAt = scenario.startedAfter(id(URGENT), index, cutAt);
-            assertTrue(!first.isEmpty() || restartedAt < cutAt + scenario.cluster.leaseS + scenario.cluster.runS);
+        for (int index : displaced.get(jobId(URGENT))) {
+            double restartedAt = scenario.firstStartAfterS(jobId(URGENT), index, cutAt);
+            assertTrue(!first.isEmpty()
+                    || restartedAt < cutAt + scenario.cluster.workerLeaseS + scenario.cluster.taskDurationS);
         }
         scenario.rejoin("a");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     /** Starts in the returning zone stay within the window, which the leader's first look and each second let grow. */
     @Test
     void workReturnsAtThePaceOfTheRamp() {
         ZoneScenario scenario = new ZoneScenario(3, 20, SLOW_RAMP);
-        scenario.cluster.runS = 30;
-        scenario.array(1, "parts", "standard", 400);
-        assertTrue(allStarted(scenario.cluster, 240));
-        assertTrue(scenario.lose("a"));
-        scenario.cluster.run(20);
-        assertEquals(0, scenario.starts("a", scenario.cluster.now - 20, scenario.cluster.now));
-        assertTrue(scenario.returns("a"));
-        double from = scenario.cluster.now;
+        scenario.cluster.taskDurationS = 30;
+        scenario.submitArray(1, "parts", "standard", 400);
+        assertTrue(runUntilStarted(scenario.cluster, 240));
+        assertTrue(scenario.isolateUntilLost("a"));
+        scenario.cluster.runFor(20);
+        assertEquals(0, scenario.countStarts("a", scenario.cluster.nowS - 20, scenario.cluster.nowS));
+        assertTrue(scenario.rejoinUntilReturning("a"));
+        double from = scenario.cluster.nowS;
         double[] windows = new double[1];
         for (int second = 1; second <= 18 && scenario.state("a") == ZoneState.RETURNING; second++) {
-            scenario.cluster.run(1);
+            scenario.cluster.runFor(1);
             // One machine's worth at first, one more each second; each start is under way for a moment only.
             windows[0] += 1 + second;
             assertTrue(scenario.status("a").window() <= 1 + second, "window in second " + second);
-            assertTrue(scenario.starts("a", from, scenario.cluster.now) <= windows[0], "starts by second " + second);
+            assertTrue(
+                    scenario.countStarts("a", from, scenario.cluster.nowS) <= windows[0], "starts by second " + second);
         }
-        assertTrue(scenario.starts("a", from, from + 10) > 5, "work does return");
-        assertTrue(scenario.until(60, "a", ZoneState.PRESENT));
-        end(scenario.cluster, 300);
+        assertTrue(scenario.countStarts("a", from, from + 10) > 5, "work does return");
+        assertTrue(scenario.runUntilState(60, "a", ZoneState.PRESENT));
+        assertSettles(scenario.cluster, 300);
     }
 
     /** Twice lost within a minute: the second time it must be heard for twice as long, and nothing is rented for it twice. */
@@ -117,47 +120,47 @@
         ZoneScenario scenario = new ZoneScenario(3, 6, ON);
         scenario.cluster.cloud.capacity = 40;
         scenario.cluster.cloud.zoneCapacity.clear();
-        scenario.cluster.runS = 300;
-        scenario.array(1, "parts", "standard", 72);
-        assertTrue(allStarted(scenario.cluster, 72));
-        int before = scenario.cluster.rented;
+        scenario.cluster.taskDurationS = 300;
+        scenario.submitArray(1, "parts", "standard", 72);
+        assertTrue(runUntilStarted(scenario.cluster, 72));
+        int before = scenario.cluster.machinesRented;
         for (int flap = 1; flap <= 2; flap++) {
-            assertTrue(scenario.lose("a"));
-            scenario.cluster.run(3);
+            assertTrue(scenario.isolateUntilLost("a"));
+            scenario.cluster.runFor(3);
             scenario.rejoin("a");
-            double joinedAt = scenario.cluster.now;
-            assertTrue(scenario.until(30, "a", ZoneState.RETURNING));
+            double joinedAt = scenario.cluster.nowS;
+            assertTrue(scenario.runUntilState(30, "a", ZoneState.RETURNING));
             // The first word of a machine may come up to an interval and a half after it can.
-            assertTrue(scenario.cluster.now - joinedAt >= 4 * flap, "heard for long enough, time " + flap);
-            assertEquals(0, scenario.starts("a", joinedAt, scenario.cluster.now));
-            assertEquals(6, scenario.in("a").size(), "none of the zone's machines is returned while it flaps");
+            assertTrue(scenario.cluster.nowS - joinedAt >= 4 * flap, "heard for long enough, time " + flap);
+            assertEquals(0, scenario.countStarts("a", joinedAt, scenario.cluster.nowS));
+            assertEquals(6, scenario.workersIn("a").size(), "none of the zone's machines is returned while it flaps");
         }
-        assertEquals(2, scenario.status("a").losses());
-        scenario.cluster.run(30);
-        assertTrue(scenario.cluster.rented - before <= 6, "at most as many rented as were lost");
-        scenario.cluster.runS = 5;
-        end(scenario.cluster, 200);
+        assertEquals(2, scenario.status("a").recentLosses());
+        scenario.cluster.runFor(30);
+        assertTrue(scenario.cluster.machinesRented - before <= 6, "at most as many rented as were lost");
+        scenario.cluster.taskDurationS = 5;
+        assertSettles(scenario.cluster, 200);
     }
 
     /** A zone that comes back while the cloud is taking some of its machines: these get nothing, and lose nothing twice. */
     @Test
     void returnsWhileSomeOfItsMachinesDrain() {
         ZoneScenario scenario = crowded(ON);
-        List<SimulatedCluster.Worker> taken = scenario.in("a").subList(0, 2);
+        List<SimulatedCluster.Worker> taken = scenario.workersIn("a").subList(0, 2);
         for (SimulatedCluster.Worker worker : taken) {
-            worker.takenAt = scenario.cluster.now + 60;
-            scenario.cluster.in(60, worker::die);
+            worker.reclaimedAtS = scenario.cluster.nowS + 60;
+            scenario.cluster.schedule(60, worker::crash);
         }
-        scenario.cluster.run(4);
-        assertTrue(scenario.lose("a"));
-        scenario.cluster.run(5);
-        double joinedAt = scenario.cluster.now;
-        assertTrue(scenario.returns("a"));
-        scenario.cluster.run(20);
+        scenario.cluster.runFor(4);
+        assertTrue(scenario.isolateUntilLost("a"));
+        scenario.cluster.runFor(5);
+        double joinedAt = scenario.cluster.nowS;
+        assertTrue(scenario.rejoinUntilReturning("a"));
+        scenario.cluster.runFor(20);
         List<String> names = taken.stream().map(worker -> worker.name).toList();
         assertTrue(scenario.cluster.startLog.stream()
-                .noneMatch(start -> start.at() > joinedAt && names.contains(start.machine())));
-        end(scenario.cluster, 300);
+                .noneMatch(start -> start.atS() > joinedAt && names.contains(start.machine())));
+        assertSettles(scenario.cluster, 300);
     }
 
     /** The leader is in the zone that is cut off: another one leads, finds the zone silent and goes on. */
@@ -165,16 +168,16 @@
     @ValueSource(doubles = {8, 25, 60})
     void theLeaderSitsInTheLostZone(double awayS) {
         ZoneScenario scenario = crowded(ON);
-        SimulatedCluster.Node inside = scenario.cluster.leader();
-        inside.inside = true;
-        scenario.cut("a");
-        scenario.cluster.run(awayS);
+        SimulatedCluster.ControllerProcess inside = scenario.cluster.leader();
+        inside.inIsolatedZone = true;
+        scenario.isolate("a");
+        scenario.cluster.runFor(awayS);
         if (awayS > 20) {
             assertEquals(ZoneState.LOST, scenario.state("a"));
         }
-        inside.inside = false;
+        inside.inIsolatedZone = false;
         scenario.rejoin("a");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
         assertEquals(ZoneState.PRESENT, scenario.state("a"));
     }
 
@@ -182,19 +185,19 @@
     @Test
     void theLeaderChangesTwiceInTheMiddleOfTheRamp() {
         ZoneScenario scenario = new ZoneScenario(3, 20, SLOW_RAMP);
-        scenario.cluster.runS = 40;
-        scenario.array(1, "parts", "standard", 500);
-        assertTrue(allStarted(scenario.cluster, 240));
-        assertTrue(scenario.lose("a"));
-        assertTrue(scenario.returns("a"));
+        scenario.cluster.taskDurationS = 40;
+        scenario.submitArray(1, "parts", "standard", 500);
+        assertTrue(runUntilStarted(scenario.cluster, 240));
+        assertTrue(scenario.isolateUntilLost("a"));
+        assertTrue(scenario.rejoinUntilReturning("a"));
         for (int change = 0; change < 2; change++) {
-            scenario.cluster.run(4);
+            scenario.cluster.runFor(4);
             double window = scenario.status("a").window();
             assertTrue(window > 1 && window < 20, "in the middle: " + window);
-            SimulatedCluster.Node leader = scenario.cluster.leader();
+            SimulatedCluster.ControllerProcess leader = scenario.cluster.leader();
             long token = leader.token();
             leader.restartAfter(1);
-            assertTrue(scenario.cluster.until(
+            assertTrue(scenario.cluster.runUntil(
                     20,
                     () -> scenario.cluster.leader() != null
                             && scenario.cluster.leader().token() > token
@@ -204,48 +207,48 @@
             // Written every two seconds, and every step adds one.
             assertTrue(now >= window - 3 && now <= window + 2, "from " + window + " to " + now);
         }
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     /** A new leader that cannot read how the zones stood places nothing until it can. */
     @Test
     void aNewLeaderWaitsForTheStateOfTheZones() {
         ZoneScenario scenario = new ZoneScenario(3, 20, SLOW_RAMP);
-        scenario.cluster.runS = 40;
-        scenario.array(1, "parts", "standard", 500);
-        assertTrue(allStarted(scenario.cluster, 240));
-        assertTrue(scenario.lose("a"));
-        assertTrue(scenario.returns("a"));
-        scenario.cluster.run(3);
+        scenario.cluster.taskDurationS = 40;
+        scenario.submitArray(1, "parts", "standard", 500);
+        assertTrue(runUntilStarted(scenario.cluster, 240));
+        assertTrue(scenario.isolateUntilLost("a"));
+        assertTrue(scenario.rejoinUntilReturning("a"));
+        scenario.cluster.runFor(3);
         long token = scenario.cluster.leader().token();
-        scenario.cluster.state.refusedPath = "/kv/" + StateKeys.ZONES;
+        scenario.cluster.stateService.refusedPath = "/kv/" + StateKeys.ZONES;
         scenario.cluster.leader().restartAfter(1);
-        assertTrue(scenario.cluster.until(
+        assertTrue(scenario.cluster.runUntil(
                 20,
                 () -> scenario.cluster.leader() != null
                         && scenario.cluster.leader().token() > token));
-        scenario.cluster.run(2); // what the last leader had decided takes effect
-        double from = scenario.cluster.now;
-        scenario.cluster.run(6);
-        assertEquals(0, scenario.starts("a", from, scenario.cluster.now));
-        scenario.cluster.state.refusedPath = null;
-        assertTrue(scenario.cluster.until(10, () -> scenario.state("a") == ZoneState.RETURNING));
-        end(scenario.cluster, 300);
+        scenario.cluster.runFor(2); // what the last leader had decided takes effect
+        double from = scenario.cluster.nowS;
+        scenario.cluster.runFor(6);
+        assertEquals(0, scenario.countStarts("a", from, scenario.cluster.nowS));
+        scenario.cluster.stateService.refusedPath = null;
+        assertTrue(scenario.cluster.runUntil(10, () -> scenario.state("a") == ZoneState.RETURNING));
+        assertSettles(scenario.cluster, 300);
     }
 
     /** Half of a lost zone comes back: it returns, and only on the machines that are heard. */
     @Test
     void halfOfTheZoneComesBack() {
         ZoneScenario scenario = crowded(ON);
-        assertTrue(scenario.lose("a"));
-        double joinedAt = scenario.cluster.now;
+        assertTrue(scenario.isolateUntilLost("a"));
+        double joinedAt = scenario.cluster.nowS;
         scenario.rejoin("a", 0.5);
-        assertTrue(scenario.until(30, "a", ZoneState.RETURNING));
-        scenario.cluster.run(20);
+        assertTrue(scenario.runUntilState(30, "a", ZoneState.RETURNING));
+        scenario.cluster.runFor(20);
         assertTrue(scenario.status("a").window() <= 3);
-        assertTrue(scenario.starts("a", joinedAt, scenario.cluster.now) > 0);
+        assertTrue(scenario.countStarts("a", joinedAt, scenario.cluster.nowS) > 0);
         scenario.rejoin("a");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
         assertEquals(ZoneState.PRESENT, scenario.state("a"));
     }
 
@@ -257,38 +260,38 @@
     @ValueSource(doubles = {20, 45, 100})
     void aZoneThatWasAwayForLongIsNotReturnedAtItsFirstReport(double awayS) {
         ZoneScenario scenario = crowded(ON);
-        scenario.cut("a");
-        scenario.cluster.run(awayS);
+        scenario.isolate("a");
+        scenario.cluster.runFor(awayS);
         scenario.rejoin("a");
-        scenario.cluster.run(12);
-        assertEquals(6, scenario.in("a").size());
-        end(scenario.cluster, 300);
+        scenario.cluster.runFor(12);
+        assertEquals(6, scenario.workersIn("a").size());
+        assertSettles(scenario.cluster, 300);
     }
 
     /** Half of a zone cut off, however long, is a case of its own: suspect, never lost. */
     @Test
     void aPartOfAZoneIsNotCalledLost() {
         ZoneScenario scenario = crowded(ON);
-        scenario.cut("a", 0.6);
-        scenario.cluster.run(60);
+        scenario.isolate("a", 0.6);
+        scenario.cluster.runFor(60);
         assertEquals(ZoneState.SUSPECT, scenario.state("a"));
-        assertTrue(scenario.history.values().stream().noneMatch(status -> status.state() == ZoneState.LOST));
+        assertTrue(scenario.statusHistory.values().stream().noneMatch(status -> status.state() == ZoneState.LOST));
         scenario.rejoin("a");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     @Test
     void aSecondZoneGoesWhileTheFirstReturns() {
         ZoneScenario scenario = crowded(SLOW_RAMP);
-        assertTrue(scenario.lose("a"));
-        assertTrue(scenario.returns("a"));
-        assertTrue(scenario.lose("b"));
-        double from = scenario.cluster.now;
-        scenario.cluster.run(20);
-        assertEquals(0, scenario.starts("b", from, scenario.cluster.now));
-        assertTrue(scenario.starts("a", from, scenario.cluster.now) > 0, "the first one is where work goes now");
+        assertTrue(scenario.isolateUntilLost("a"));
+        assertTrue(scenario.rejoinUntilReturning("a"));
+        assertTrue(scenario.isolateUntilLost("b"));
+        double from = scenario.cluster.nowS;
+        scenario.cluster.runFor(20);
+        assertEquals(0, scenario.countStarts("b", from, scenario.cluster.nowS));
+        assertTrue(scenario.countStarts("a", from, scenario.cluster.nowS) > 0, "the first one is where work goes now");
         scenario.rejoin("b");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     /** The state service is down as the zone returns: nothing is placed meanwhile, and the ramp goes on afterwards. */
@@ -296,17 +299,17 @@
     @CsvSource({"1, 12, false", "6, 25, false", "1, 20, true"})
     void theStateServiceIsDownAsTheZoneReturns(double beforeS, double forS, boolean leaderEnds) {
         ZoneScenario scenario = crowded(ON);
-        assertTrue(scenario.lose("a"));
-        scenario.cluster.run(6);
-        scenario.cluster.state.outage = true;
-        scenario.cluster.run(beforeS);
+        assertTrue(scenario.isolateUntilLost("a"));
+        scenario.cluster.runFor(6);
+        scenario.cluster.stateService.outage = true;
+        scenario.cluster.runFor(beforeS);
         scenario.rejoin("a");
         if (leaderEnds) {
             scenario.cluster.leader().restartAfter(2);
         }
-        scenario.cluster.run(forS);
-        scenario.cluster.state.recover();
-        end(scenario.cluster, 400);
+        scenario.cluster.runFor(forS);
+        scenario.cluster.stateService.recover();
+        assertSettles(scenario.cluster, 400);
         assertEquals(ZoneState.PRESENT, scenario.state("a"));
     }
 
@@ -315,28 +318,28 @@
     @CsvSource({"9, false", "9, true", "30, false", "30, true"})
     void machinesComeBackWithOldSessionsAndTasks(double hungS, boolean leaderEnds) {
         ZoneScenario scenario = crowded(ON);
-        scenario.cluster.run(2);
+        scenario.cluster.runFor(2);
         Map<SimulatedCluster.Worker, List<Report>> old = new HashMap<>();
-        for (SimulatedCluster.Worker worker : scenario.in("a")) {
-            old.put(worker, List.copyOf(worker.sent));
-            worker.hangsUntil = scenario.cluster.now + hungS;
+        for (SimulatedCluster.Worker worker : scenario.workersIn("a")) {
+            old.put(worker, List.copyOf(worker.sentReports));
+            worker.hungUntilS = scenario.cluster.nowS + hungS;
         }
-        scenario.cut("a");
-        scenario.cluster.run(hungS + 6);
+        scenario.isolate("a");
+        scenario.cluster.runFor(hungS + 6);
         if (leaderEnds) {
             scenario.cluster.leader().restartAfter(3);
         }
         scenario.rejoin("a");
         for (int i = 0; i < 30; i++) {
-            scenario.cluster.run(0.5);
-            SimulatedCluster.Node leader = scenario.cluster.leader();
+            scenario.cluster.runFor(0.5);
+            SimulatedCluster.ControllerProcess leader = scenario.cluster.leader();
             if (leader != null) {
                 for (List<Report> reports : old.values()) {
                     leader.controller.handleReport(reports.get(i % reports.size()));
                 }
             }
         }
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     /** Jobs are cancelled while their machines are in the lost zone: gone in time, those cut off by their lease. */
@@ -344,36 +347,36 @@
     @CsvSource({"0.5, false", "9, false", "20, false", "0.5, true", "9, true"})
     void jobsAreCancelledWhileTheirMachinesAreAway(double afterS, boolean leaderInside) {
         ZoneScenario scenario = crowded(ON);
-        SimulatedCluster.Node leader = scenario.cluster.leader();
-        leader.inside = leaderInside;
-        scenario.cut("a");
-        scenario.cluster.run(afterS);
-        SimulatedCluster.Node outside = other(scenario.cluster, leader);
+        SimulatedCluster.ControllerProcess leader = scenario.cluster.leader();
+        leader.inIsolatedZone = leaderInside;
+        scenario.isolate("a");
+        scenario.cluster.runFor(afterS);
+        SimulatedCluster.ControllerProcess outside = otherController(scenario.cluster, leader);
         for (int job : new int[] {URGENT, 2}) {
-            assertTrue(scenario.cluster.until(20, () -> {
-                Map<String, Object> answer = outside.abort(id(job));
+            assertTrue(scenario.cluster.runUntil(20, () -> {
+                Map<String, Object> answer = outside.cancel(jobId(job));
                 return answer != null && "withdrawn".equals(answer.get("status"));
             }));
         }
-        scenario.cluster.run(SimulatedCluster.CANCEL_S + 5);
-        leader.inside = false;
+        scenario.cluster.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 5);
+        leader.inIsolatedZone = false;
         scenario.rejoin("a");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     /** The cloud refuses rentals in the other zones: what is there is used in order, and nothing is rented at the return. */
     @Test
     void theCloudRefusesRentalsElsewhere() {
         ZoneScenario scenario = crowded(ON);
-        int before = scenario.cluster.rented;
-        double cutAt = scenario.cluster.now;
-        scenario.cut("a");
-        scenario.cluster.run(40);
-        assertEquals(before, scenario.cluster.rented);
+        int before = scenario.cluster.machinesRented;
+        double cutAt = scenario.cluster.nowS;
+        scenario.isolate("a");
+        scenario.cluster.runFor(40);
+        assertEquals(before, scenario.cluster.machinesRented);
         assertEquals(0, inversions(scenario, true, cutAt));
-        scenario.cluster.cloud.refusing.clear();
+        scenario.cluster.cloud.zonesRefusingRentals.clear();
         scenario.rejoin("a");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     /** A leader of production's version meets the loss; one of this version takes over in its middle or at its end. */
@@ -381,33 +384,35 @@
     @ValueSource(doubles = {5, 20, 45})
     void aLeaderOfProductionMeetsTheLoss(double afterS) {
         ZoneScenario scenario = new ZoneScenario(3, 6, ON, true);
-        scenario.cluster.runS = 24;
-        scenario.array(1, "parts", "standard", 150);
-        assertTrue(allStarted(scenario.cluster, 72));
-        scenario.cut("a");
-        scenario.cluster.run(afterS);
+        scenario.cluster.taskDurationS = 24;
+        scenario.submitArray(1, "parts", "standard", 150);
+        assertTrue(runUntilStarted(scenario.cluster, 72));
+        scenario.isolate("a");
+        scenario.cluster.runFor(afterS);
         scenario.cluster.leader().upgradeAfter(1);
-        scenario.cluster.run(30 - afterS / 2);
-        assertNull(scenario.cluster.state.value(StateKeys.ZONES), "not written while one controller cannot read it");
+        scenario.cluster.runFor(30 - afterS / 2);
+        assertNull(
+                scenario.cluster.stateService.value(StateKeys.ZONES),
+                "not written while one controller cannot read it");
         scenario.rejoin("a");
-        scenario.cluster.nodes.stream().filter(node -> node.old).forEach(node -> node.upgradeAfter(1));
-        end(scenario.cluster, 400);
+        scenario.cluster.controllers.stream().filter(node -> node.oldVersion).forEach(node -> node.upgradeAfter(1));
+        assertSettles(scenario.cluster, 400);
     }
 
     /** The state is kept for the next leader once every controller reads it, and a leader of production ignores it. */
     @Test
     void theStateIsStoredAndAnOlderLeaderIgnoresIt() {
         ZoneScenario scenario = crowded(ON);
-        assertTrue(scenario.lose("a"));
-        scenario.cluster.run(3);
-        assertNotNull(scenario.cluster.state.value(StateKeys.ZONES));
-        for (SimulatedCluster.Node node : scenario.cluster.nodes) {
-            node.old = true;
+        assertTrue(scenario.isolateUntilLost("a"));
+        scenario.cluster.runFor(3);
+        assertNotNull(scenario.cluster.stateService.value(StateKeys.ZONES));
+        for (SimulatedCluster.ControllerProcess node : scenario.cluster.controllers) {
+            node.oldVersion = true;
             node.restartAfter(1);
         }
-        scenario.cluster.run(15);
+        scenario.cluster.runFor(15);
         scenario.rejoin("a");
-        end(scenario.cluster, 300);
+        assertSettles(scenario.cluster, 300);
     }
 
     /** Neither a storm of ending machines nor a leader that stood still, or alone hears nothing, is a lost zone. */
@@ -417,21 +422,21 @@
         ZoneScenario scenario = crowded(ON);
         switch (trouble) {
             case "machines end" ->
-                scenario.in("a")
-                        .forEach(worker -> scenario.cluster.in(1, () -> {
+                scenario.workersIn("a")
+                        .forEach(worker -> scenario.cluster.schedule(1, () -> {
                             scenario.cluster.workers.remove(worker.name);
-                            worker.end();
+                            worker.terminate();
                         }));
-            case "leader stands still" -> scenario.cluster.leader().freeze(15);
+            case "leader stands still" -> scenario.cluster.leader().pause(15);
             default -> scenario.cluster.leader().cutFromWorkers = true;
         }
-        scenario.cluster.run(25);
-        scenario.cluster.nodes.forEach(node -> node.cutFromWorkers = false);
-        scenario.cluster.cloud.refusing.clear();
-        scenario.cluster.run(25);
+        scenario.cluster.runFor(25);
+        scenario.cluster.controllers.forEach(node -> node.cutFromWorkers = false);
+        scenario.cluster.cloud.zonesRefusingRentals.clear();
+        scenario.cluster.runFor(25);
         if (!trouble.equals("machines end")) {
-            assertTrue(scenario.history.values().stream().noneMatch(status -> status.state() == ZoneState.LOST));
+            assertTrue(scenario.statusHistory.values().stream().noneMatch(status -> status.state() == ZoneState.LOST));
         }
-        end(scenario.cluster, 400);
+        assertSettles(scenario.cluster, 400);
     }
 }
--- a/src/test/java/org/mountlug/node/ZoneMeasurementTest.java
+++ b/src/test/java/org/mountlug/node/ZoneMeasurementTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.id;
+import static org.mountlug.node.FaultTestSteps.jobId;
 
 import java.util.Arrays;
 import java.util.HashMap;
@@ -31,10 +31,10 @@
 
     private void watchMachines() {
         for (String name : cluster.workers.keySet()) {
-            seenFirst.putIfAbsent(name, cluster.now);
-            seenLast.put(name, cluster.now);
+            seenFirst.putIfAbsent(name, cluster.nowS);
+            seenLast.put(name, cluster.nowS);
         }
-        cluster.in(1, this::watchMachines);
+        cluster.schedule(1, this::watchMachines);
     }
 
     /** Machines, seconds away, tracked or not: every size twice by the length of the cut and twice by the switch. */
@@ -51,45 +51,45 @@
     void measure(int machines, double awayS, boolean tracked) {
         scenario = new ZoneScenario(3, machines / 3, tracked ? ZoneSettings.defaults() : ZoneSettings.disabled());
         cluster = scenario.cluster;
-        cluster.runS = RUN_S;
-        cluster.bootS = BOOT_S;
+        cluster.taskDurationS = RUN_S;
+        cluster.machineBootS = BOOT_S;
         cluster.cloud.capacity = machines * 3 / 2;
         cluster.cloud.zoneCapacity.clear();
         for (int job = 1; job <= URGENT_JOBS; job++) {
-            scenario.array(job, "proofs", "high", machines / 40, SimulatedCluster.TYPE_CPUS);
+            scenario.submitArray(job, "proofs", "high", machines / 40, SimulatedCluster.MACHINE_CPUS);
         }
         int bulk = 10;
         for (int job = 1; job <= bulk; job++) {
-            scenario.array(URGENT_JOBS + job, "parts", "standard", machines / 4, SimulatedCluster.TYPE_CPUS);
+            scenario.submitArray(URGENT_JOBS + job, "parts", "standard", machines / 4, SimulatedCluster.MACHINE_CPUS);
         }
-        assertTrue(cluster.until(60, () -> cluster.startLog.size() >= machines / 3 * 3));
-        cluster.run(12);
+        assertTrue(cluster.runUntil(60, () -> cluster.startLog.size() >= machines / 3 * 3));
+        cluster.runFor(12);
         watchMachines();
-        Map<String, List<Integer>> displaced = scenario.held("a");
-        double cutAt = cluster.now;
-        scenario.cut("a");
-        cluster.run(awayS);
+        Map<String, List<Integer>> displaced = scenario.activeTasksByJob("a");
+        double cutAt = cluster.nowS;
+        scenario.isolate("a");
+        cluster.runFor(awayS);
         scenario.rejoin("a");
-        double joinedAt = cluster.now;
-        cluster.run(120);
+        double joinedAt = cluster.nowS;
+        cluster.runFor(120);
 
         double urgentS = 0;
         long urgent = 0;
         for (int job = 1; job <= URGENT_JOBS; job++) {
-            for (int index : displaced.getOrDefault(id(job), List.of())) {
+            for (int index : displaced.getOrDefault(jobId(job), List.of())) {
                 urgent++;
-                urgentS = Math.max(urgentS, scenario.startedAfter(id(job), index, cutAt) - cutAt);
+                urgentS = Math.max(urgentS, scenario.firstStartAfterS(jobId(job), index, cutAt) - cutAt);
             }
         }
         long repeated = 0;
         for (Map.Entry<String, List<Integer>> job : displaced.entrySet()) {
             for (int index : job.getValue()) {
-                repeated += scenario.startedAfter(job.getKey(), index, cutAt) < Double.POSITIVE_INFINITY ? 1 : 0;
+                repeated += scenario.firstStartAfterS(job.getKey(), index, cutAt) < Double.POSITIVE_INFINITY ? 1 : 0;
             }
         }
         long most = 0;
         for (double from = joinedAt; from < joinedAt + 60; from++) {
-            most = Math.max(most, scenario.starts("a", from, from + 1));
+            most = Math.max(most, scenario.countStarts("a", from, from + 1));
         }
         double substituteS = 0;
         int substitutes = 0;
@@ -114,22 +114,22 @@
                 substituteS / 60);
         assertTrue(urgent > 0 && urgentS < Double.POSITIVE_INFINITY, "all urgent work lands elsewhere");
         assertEquals(0, inversions(cutAt));
-        assertEquals(List.of(), cluster.broken());
+        assertEquals(List.of(), cluster.violations());
     }
 
     /** Starts of bulk work while a displaced urgent task has waited for longer than a start takes. */
     private long inversions(double cutAt) {
-        double openFrom = cutAt + cluster.leaseS + 1 + ZoneScenario.START_DELAY_S;
+        double openFrom = cutAt + cluster.workerLeaseS + 1 + ZoneScenario.START_DELAY_S;
         double last = 0;
-        for (SimulatedCluster.Start start : cluster.startLog) {
-            if (start.at() > openFrom && Integer.parseInt(start.job().substring(3)) <= URGENT_JOBS) {
-                last = start.at();
+        for (SimulatedCluster.TaskStart start : cluster.startLog) {
+            if (start.atS() > openFrom && Integer.parseInt(start.jobId().substring(3)) <= URGENT_JOBS) {
+                last = start.atS();
             }
         }
         double until = last - ZoneScenario.START_DELAY_S;
         return cluster.startLog.stream()
-                .filter(start -> Integer.parseInt(start.job().substring(3)) > URGENT_JOBS)
-                .filter(start -> start.at() > openFrom && start.at() < until)
+                .filter(start -> Integer.parseInt(start.jobId().substring(3)) > URGENT_JOBS)
+                .filter(start -> start.atS() > openFrom && start.atS() < until)
                 .count();
     }
 }
--- a/src/test/java/org/mountlug/node/ZonePropertiesTest.java
+++ b/src/test/java/org/mountlug/node/ZonePropertiesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mountlug.node.FaultScenario.id;
+import static org.mountlug.node.FaultTestSteps.jobId;
 
 import java.util.HashMap;
 import java.util.List;
@@ -60,40 +60,40 @@
         Play() {
             cluster.cloud.capacity = 24;
             cluster.cloud.zoneCapacity.clear();
-            cluster.runS = 15;
-            scenario.array(1, "proofs", "high", 12);
-            scenario.array(2, "parts", "standard", 40);
-            scenario.array(3, "parts", "standard", 40);
-            cluster.run(8);
+            cluster.taskDurationS = 15;
+            scenario.submitArray(1, "proofs", "high", 12);
+            scenario.submitArray(2, "parts", "standard", 40);
+            scenario.submitArray(3, "parts", "standard", 40);
+            cluster.runFor(8);
         }
 
         void step(Step step) {
             String zone = ZoneScenario.ZONES.get(step.which);
             switch (step.event) {
-                case CUT -> scenario.cut(zone);
-                case CUT_A_PART -> scenario.cut(zone, 0.6);
+                case CUT -> scenario.isolate(zone);
+                case CUT_A_PART -> scenario.isolate(zone, 0.6);
                 case REJOIN -> scenario.rejoin(zone);
                 case END_LEADER -> {
                     if (cluster.leader() != null) {
                         cluster.leader().restartAfter(1 + step.which);
                     }
                 }
-                case OUTAGE -> cluster.state.outage = true;
+                case OUTAGE -> cluster.stateService.outage = true;
                 case RECOVER -> recover();
                 case SUBMIT -> {
                     jobs++;
-                    cluster.nodes.get(step.which).send(id(jobs), 3 + 5 * step.which, false, Map.of());
+                    cluster.controllers.get(step.which).submitAsync(jobId(jobs), 3 + 5 * step.which, false, Map.of());
                 }
                 case CANCEL -> {
-                    String job = id(1 + step.which);
-                    SimulatedCluster.Node node = cluster.nodes.get(step.which);
-                    node.askLater("abort", job, reply -> node.users.abort(job, reply), null);
+                    String job = jobId(1 + step.which);
+                    SimulatedCluster.ControllerProcess node = cluster.controllers.get(step.which);
+                    node.askAsync("abort", job, reply -> node.users.cancel(job, reply), null);
                 }
-                case REFUSE_RENTALS -> cluster.cloud.refusing.add(zone);
+                case REFUSE_RENTALS -> cluster.cloud.zonesRefusingRentals.add(zone);
                 default -> throw new IllegalStateException();
             }
             for (int second = 0; second < step.thenS; second++) {
-                cluster.run(1);
+                cluster.runFor(1);
                 checkRamps();
             }
         }
@@ -104,7 +104,7 @@
          */
         private void checkRamps() {
             for (String zone : ZoneScenario.ZONES) {
-                int most = mostMachines.merge(zone, scenario.in(zone).size(), Math::max);
+                int most = mostMachines.merge(zone, scenario.workersIn(zone).size(), Math::max);
                 ZoneStatus status = scenario.status(zone);
                 if (status.state() == ZoneState.RETURNING) {
                     assertTrue(status.window() <= Math.max(1, most), zone + " admits " + status.window());
@@ -113,17 +113,17 @@
         }
 
         private void recover() {
-            if (cluster.state.outage) {
-                cluster.state.recover();
+            if (cluster.stateService.outage) {
+                cluster.stateService.recover();
             }
         }
 
         void end() {
             recover();
             ZoneScenario.ZONES.forEach(scenario::rejoin);
-            cluster.cloud.refusing.clear();
-            cluster.runS = 4;
-            cluster.settle(SETTLE_S);
+            cluster.cloud.zonesRefusingRentals.clear();
+            cluster.taskDurationS = 4;
+            cluster.runUntilSettled(SETTLE_S);
         }
     }
 
@@ -132,6 +132,6 @@
         Play play = new Play();
         steps.forEach(play::step);
         play.end();
-        assertEquals(List.of(), play.cluster.broken());
+        assertEquals(List.of(), play.cluster.violations());
     }
 }
--- a/src/test/java/org/mountlug/peer/PeerTest.java
+++ b/src/test/java/org/mountlug/peer/PeerProtocolTest.java
@@ -15,29 +15,33 @@
 import org.mountlug.core.admit.QueueId;
 
 /** Frames, and what the peers' answers prove to a leader that the state service does not serve. */
-class PeerTest {
+class PeerProtocolTest {
     private final PeerView v = new PeerView(List.of("y", "z"), 20);
 
     private void answer(String peer, double asked, long boot, boolean overflow) {
-        v.answered(peer, asked, asked + 0.1, new PeerCodec.Answer(1, boot, false, 3, 0, overflow, List.of()));
+        v.recordResponse(
+                peer, asked, asked + 0.1, new PeerCodec.StatusResponse(1, boot, false, 3, 0, overflow, List.of()));
     }
 
     @Test
     void framesSurviveAndArriveInPieces() {
-        PeerCodec.Answer a = new PeerCodec.Answer(5, -9, true, 77, 968, false, List.of("wk-000001", "wk-123456"));
+        PeerCodec.StatusResponse a =
+                new PeerCodec.StatusResponse(5, -9, true, 77, 968, false, List.of("wk-000001", "wk-123456"));
         assertEquals(
-                List.of(), PeerCodec.answer(PeerCodec.next(PeerCodec.answer(a))).demand());
+                List.of(),
+                PeerCodec.readResponse(PeerCodec.nextFrame(PeerCodec.writeResponse(a)))
+                        .demand());
         List<QueueDemand> demand = List.of(
                 new QueueDemand(new QueueId("warband", "balance-sim"), 70_000, 400, 3),
                 new QueueDemand(new QueueId("körförbundet", "n".repeat(200)), 1, 1, 0));
-        a = new PeerCodec.Answer(5, -9, true, 77, 968, false, a.aborts(), demand);
-        ByteBuffer whole = PeerCodec.answer(a);
+        a = new PeerCodec.StatusResponse(5, -9, true, 77, 968, false, a.cancellations(), demand);
+        ByteBuffer whole = PeerCodec.writeResponse(a);
         ByteBuffer part = whole.duplicate().limit(10);
-        assertNull(PeerCodec.next(part));
-        assertEquals(a, PeerCodec.answer(PeerCodec.next(whole)));
+        assertNull(PeerCodec.nextFrame(part));
+        assertEquals(a, PeerCodec.readResponse(PeerCodec.nextFrame(whole)));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> PeerCodec.next(ByteBuffer.allocate(8).putInt(1 << 20).rewind()));
+                () -> PeerCodec.nextFrame(ByteBuffer.allocate(8).putInt(1 << 20).rewind()));
     }
 
     /** A list that does not fit its frame says so; one that does is told whole. */
@@ -60,14 +64,14 @@
         if (longest > 9) {
             l.set(0, "w".repeat(longest));
         }
-        ByteBuffer b = PeerCodec.answer(new PeerCodec.Answer(5, -9, true, 77, 968, false, l));
-        assertTrue(b.remaining() <= PeerCodec.FRAME_MAX);
-        PeerCodec.Answer a = PeerCodec.answer(PeerCodec.next(b));
-        assertEquals(overflow, a.overflow());
+        ByteBuffer b = PeerCodec.writeResponse(new PeerCodec.StatusResponse(5, -9, true, 77, 968, false, l));
+        assertTrue(b.remaining() <= PeerCodec.FRAME_MAX_BYTES);
+        PeerCodec.StatusResponse a = PeerCodec.readResponse(PeerCodec.nextFrame(b));
+        assertEquals(overflow, a.cancellationsTruncated());
         if (!overflow) {
-            assertEquals(l, a.aborts());
+            assertEquals(l, a.cancellations());
         } else {
-            assertTrue(a.aborts().size() < ids && l.containsAll(a.aborts()));
+            assertTrue(a.cancellations().size() < ids && l.containsAll(a.cancellations()));
         }
     }
 
@@ -75,7 +79,7 @@
     void aSilentPeerHasProvenNothing() {
         answer("y", 9, 1, false);
         answer("y", 12, 1, false);
-        assertEquals(10, v.knownUntilS(10, 12.2));
+        assertEquals(10, v.cancellationsKnownUntilS(10, 12.2));
     }
 
     @Test
@@ -84,7 +88,7 @@
             answer("y", t, 1, false);
             answer("z", t + 0.5, 2, false);
         }
-        assertEquals(19, v.knownUntilS(10, 20));
+        assertEquals(19, v.cancellationsKnownUntilS(10, 20));
     }
 
     @Test
@@ -93,8 +97,8 @@
             answer("y", t, 1, false);
             answer("z", t, t < 14 ? 2 : 3, false);
         }
-        assertEquals(10, v.knownUntilS(10, 20));
-        assertEquals(19, v.knownUntilS(15, 20));
+        assertEquals(10, v.cancellationsKnownUntilS(10, 20));
+        assertEquals(19, v.cancellationsKnownUntilS(15, 20));
     }
 
     @Test
@@ -103,10 +107,10 @@
         answer("z", 9, 2, false);
         answer("y", 15, 1, true);
         answer("z", 15, 2, false);
-        assertEquals(10, v.knownUntilS(10, 16));
+        assertEquals(10, v.cancellationsKnownUntilS(10, 16));
         answer("y", 40, 1, false);
         answer("z", 40, 2, false);
-        assertEquals(20, v.knownUntilS(20, 41));
+        assertEquals(20, v.cancellationsKnownUntilS(20, 41));
     }
 
     @ParameterizedTest(name = "{0}")
@@ -119,9 +123,9 @@
     })
     void aPeerHasEndedOnlyIfItRefusesWhileOthersAnswer(String what, boolean ended) {
         answer("z", 9, 2, false);
-        v.refused("y", 10);
+        v.recordRefusedConnection("y", 10);
         if (!what.equals("refused once")) {
-            v.refused("y", 10.3);
+            v.recordRefusedConnection("y", 10.3);
         }
         if (!what.startsWith("the other")) {
             answer("z", 10.2, 2, false);
@@ -129,16 +133,16 @@
         if (what.startsWith("it answered")) {
             answer("y", 10.4, 1, false);
         }
-        assertEquals(ended, v.ended("y", what.equals("long ago") ? 20 : 10.6));
+        assertEquals(ended, v.hasProcessEnded("y", what.equals("long ago") ? 20 : 10.6));
     }
 
     @Test
     void reportsElsewhereCountOnlyWhileTheyAreFresh() {
-        v.answered("y", 9, 9.1, new PeerCodec.Answer(1, 1, true, 3, 40, false, List.of()));
-        v.answered("z", 11, 11.1, new PeerCodec.Answer(2, 2, true, 3, 2, false, List.of()));
-        assertEquals(42, v.reportsElsewhere(11.5));
-        assertEquals(2, v.reportsElsewhere(13));
-        assertEquals(0, v.reportsElsewhere(20));
+        v.recordResponse("y", 9, 9.1, new PeerCodec.StatusResponse(1, 1, true, 3, 40, false, List.of()));
+        v.recordResponse("z", 11, 11.1, new PeerCodec.StatusResponse(2, 2, true, 3, 2, false, List.of()));
+        assertEquals(42, v.recentPeerReportCount(11.5));
+        assertEquals(2, v.recentPeerReportCount(13));
+        assertEquals(0, v.recentPeerReportCount(20));
     }
 
     /** Who stood still trusts its belief again only once every peer has answered a question asked since. */
@@ -146,28 +150,28 @@
     @CsvSource({"9, 11, false", "11, 9, false", "10, 11, true"})
     void allHaveAnsweredOnlyIfAskedSince(double y, double z, boolean all) {
         answer("y", y, 1, false);
-        assertFalse(v.allAnsweredSince(10));
+        assertFalse(v.haveAllRespondedSince(10));
         answer("z", z, 2, false);
-        assertEquals(all, v.allAnsweredSince(10));
+        assertEquals(all, v.haveAllRespondedSince(10));
     }
 
     /** Told again and again a job keeps its one place, and the time of its first word. */
     @Test
     void aCancellationToldAgainIsListedOnce() {
         for (int t = 5; t < 20; t++) {
-            v.cancelled("wk-000001", t);
+            v.recordCancellation("wk-000001", t);
         }
-        assertEquals(List.of("wk-000001"), v.aborts(24));
-        assertTrue(v.aborts(26).isEmpty());
-        v.cancelled("wk-000001", 27);
-        assertEquals(List.of("wk-000001"), v.aborts(28));
+        assertEquals(List.of("wk-000001"), v.recentCancellations(24));
+        assertTrue(v.recentCancellations(26).isEmpty());
+        v.recordCancellation("wk-000001", 27);
+        assertEquals(List.of("wk-000001"), v.recentCancellations(28));
     }
 
     @Test
     void abortsAreToldForAWhile() {
-        v.cancelled("wk-000001", 5);
-        assertEquals(List.of("wk-000001"), v.aborts(24));
-        assertTrue(v.aborts(26).isEmpty());
-        assertFalse(v.anyServed(5));
+        v.recordCancellation("wk-000001", 5);
+        assertEquals(List.of("wk-000001"), v.recentCancellations(24));
+        assertTrue(v.recentCancellations(26).isEmpty());
+        assertFalse(v.isStateAvailableToAnyPeer(5));
     }
 }
--- a/src/test/java/org/mountlug/settings/OperatorsTest.java
+++ b/src/test/java/org/mountlug/settings/OperatorSettingsTest.java
@@ -28,7 +28,7 @@
  * The operators' file. Each case is judged twice, by the code that the daemon and {@code check} run and by the published
  * schema, and both must agree; only relations between two fields are beyond the schema.
  */
-class OperatorsTest {
+class OperatorSettingsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private static Object yaml(String text) {
@@ -36,7 +36,7 @@
     }
 
     private static boolean schemaAccepts(Object content) throws IOException {
-        try (InputStream in = Operators.class.getResourceAsStream("operators.schema.json")) {
+        try (InputStream in = OperatorSettings.class.getResourceAsStream("operators.schema.json")) {
             JsonSchema schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                     .getSchema(in);
             JsonNode node = JSON.valueToTree(content == null ? Map.of() : content);
@@ -66,8 +66,8 @@
                 "machines: {idle_keep_s: 0, spot_risk: 100}"
             })
     void goodFilesAreAccepted(String text) throws IOException {
-        Map<String, Object> content = Fields.map(yaml(text));
-        assertDoesNotThrow(() -> Operators.of(content));
+        Map<String, Object> content = Fields.asMap(yaml(text));
+        assertDoesNotThrow(() -> OperatorSettings.of(content));
         assertTrue(schemaAccepts(content));
     }
 
@@ -117,8 +117,9 @@
                 "machines: {spot_risk: 0.5} | machines.spot_risk"
             })
     void badFilesAreRefusedByNameOfTheField(String text, String field) throws IOException {
-        Map<String, Object> content = Fields.map(yaml(text));
-        Settings.Invalid refusal = assertThrows(Settings.Invalid.class, () -> Operators.of(content));
+        Map<String, Object> content = Fields.asMap(yaml(text));
+        Settings.InvalidSettingException refusal =
+                assertThrows(Settings.InvalidSettingException.class, () -> OperatorSettings.of(content));
         assertTrue(refusal.getMessage().startsWith(field + ": "), refusal.getMessage());
         assertFalse(refusal.getMessage().contains("\n"));
         if (!text.contains(".nan")) { // JSON has no such number
@@ -138,16 +139,18 @@
                 "zones: {return_after_s: 61} | zones.return_after_s"
             })
     void thresholdsStandInOrder(String text, String field) {
-        Settings.Invalid refusal = assertThrows(Settings.Invalid.class, () -> Operators.of(Fields.map(yaml(text))));
+        Settings.InvalidSettingException refusal = assertThrows(
+                Settings.InvalidSettingException.class, () -> OperatorSettings.of(Fields.asMap(yaml(text))));
         assertTrue(refusal.getMessage().startsWith(field + ": "), refusal.getMessage());
     }
 
     @Test
-    void aClassThatThePlatformDoesNotKnowIsRefused() throws Settings.Invalid {
-        Operators operators = Operators.of(Fields.map(yaml("zones: {displacement: [partitur]}")));
+    void aClassThatThePlatformDoesNotKnowIsRefused() throws Settings.InvalidSettingException {
+        OperatorSettings operators = OperatorSettings.of(Fields.asMap(yaml("zones: {displacement: [partitur]}")));
         List<Settings.Objective> objectives = List.of(new Settings.Objective("wait", "partitur", 12, 0.75));
-        assertDoesNotThrow(() -> operators.check(objectives));
-        Settings.Invalid refusal = assertThrows(Settings.Invalid.class, () -> operators.check(List.of()));
+        assertDoesNotThrow(() -> operators.checkAgainst(objectives));
+        Settings.InvalidSettingException refusal =
+                assertThrows(Settings.InvalidSettingException.class, () -> operators.checkAgainst(List.of()));
         assertTrue(refusal.getMessage().startsWith("zones.displacement: partitur"), refusal.getMessage());
     }
 
@@ -155,10 +158,10 @@
     @Test
     void theSchemaStatesTheDefaults() throws IOException {
         JsonNode zones;
-        try (InputStream in = Operators.class.getResourceAsStream("operators.schema.json")) {
+        try (InputStream in = OperatorSettings.class.getResourceAsStream("operators.schema.json")) {
             zones = JSON.readTree(in).at("/properties/zones/properties");
         }
-        Map<String, Object> inForce = ZoneSettingsReader.inForce(ZoneSettings.defaults());
+        Map<String, Object> inForce = ZoneSettingsReader.effectiveValues(ZoneSettings.defaults());
         inForce.forEach((field, value) -> {
             JsonNode stated = zones.at("/" + field.replace(".", "/properties/") + "/default");
             if (value instanceof Number number) {
@@ -169,10 +172,10 @@
     }
 
     @Test
-    void theFileOfTheDeploymentIsGoodAndSwitchesZonesOn() throws Settings.Invalid {
-        Operators operators = Operators.load(Path.of("deploy/operators.yaml"));
+    void theFileOfTheDeploymentIsGoodAndSwitchesZonesOn() throws Settings.InvalidSettingException {
+        OperatorSettings operators = OperatorSettings.load(Path.of("deploy/operators.yaml"));
         assertTrue(operators.zones().enabled());
-        assertTrue(operators.inForce().contains("zones.enabled = true"));
-        assertFalse(Operators.defaults().zones().enabled());
+        assertTrue(operators.effectiveValues().contains("zones.enabled = true"));
+        assertFalse(OperatorSettings.defaults().zones().enabled());
     }
 }
--- a/src/test/java/org/mountlug/settings/SettingsTest.java
+++ b/src/test/java/org/mountlug/settings/SettingsTest.java
@@ -31,8 +31,8 @@
     }
 
     @Test
-    void unknownFieldsAreIgnored() throws Settings.Invalid {
-        assertEquals(8, Settings.of(good(), Operators.defaults()).txnOps());
+    void unknownFieldsAreIgnored() throws Settings.InvalidSettingException {
+        assertEquals(8, Settings.of(good(), OperatorSettings.defaults()).txnOps());
     }
 
     @SuppressWarnings("unchecked")
@@ -63,7 +63,8 @@
             v = Long.parseLong(value);
         }
         at.put(p[p.length - 1], v);
-        Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> Settings.of(m, Operators.defaults()));
+        Settings.InvalidSettingException e =
+                assertThrows(Settings.InvalidSettingException.class, () -> Settings.of(m, OperatorSettings.defaults()));
         assertTrue(e.getMessage().startsWith(path + ":"), e.getMessage());
     }
 
@@ -80,17 +81,18 @@
     })
     @SuppressWarnings("unchecked")
     void theSmallerLimitsCount(String field, long value, double rps, double writes, double kb, int ops)
-            throws Settings.Invalid {
+            throws Settings.InvalidSettingException {
         Map<String, Object> m = good();
         Map<String, Object> state = new HashMap<>(Map.of("rps", 200L, "write_rps", 25L, "value_kb", 8L, "txn_ops", 8L));
         if (field != null) {
             state.put("next", Map.of(field, value));
         }
         ((Map<String, Object>) m.get("cluster")).put("state", state);
-        Settings s = Settings.of(m, Operators.defaults());
+        Settings s = Settings.of(m, OperatorSettings.defaults());
         assertEquals(
                 List.of(rps, writes, kb, 8.0, (double) ops),
-                List.of(s.stateRps(), s.stateWriteRps(), s.leastValueKb(), s.valueKb(), (double) s.txnOps()));
+                List.of(s.stateRps(), s.stateWriteRps(), s.strictestValueLimitKb(), s.currentValueLimitKb(), (double)
+                        s.txnOps()));
     }
 
     /** What cannot be met ends the start with the field's name; what may not be met is said. */
@@ -105,31 +107,33 @@
     })
     @SuppressWarnings("unchecked")
     void sizesThatCannotBeMetAreSaidAtTheStart(long sockets, long mb, double heapMb, String said)
-            throws Settings.Invalid {
+            throws Settings.InvalidSettingException {
         Map<String, Object> m = good();
         ((Map<String, Object>) m.get("cluster")).put("machine_limits", Map.of("fd_limit", sockets, "mem_mb", mb));
-        Settings s = Settings.of(m, Operators.defaults());
+        Settings s = Settings.of(m, OperatorSettings.defaults());
         if (said.startsWith("cluster.")) {
-            Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> Sizes.check(s, heapMb));
+            Settings.InvalidSettingException e =
+                    assertThrows(Settings.InvalidSettingException.class, () -> ControllerSizing.check(s, heapMb));
             assertTrue(e.getMessage().startsWith(said + ":"), e.getMessage());
         } else {
-            assertTrue(String.join("; ", Sizes.check(s, heapMb)).contains(said));
+            assertTrue(String.join("; ", ControllerSizing.check(s, heapMb)).contains(said));
         }
     }
 
     /** All workers may come at the same time, so as many connections wait as there are sockets for workers. */
     @ParameterizedTest(name = "{0} sockets: {1} wait")
     @CsvSource({"600, 512", "2500, 2297", "5000, 4797"})
-    void connectionsThatWaitFollowFromTheSockets(long sockets, int waiting) throws Settings.Invalid {
+    void connectionsThatWaitFollowFromTheSockets(long sockets, int waiting) throws Settings.InvalidSettingException {
         Map<String, Object> m = good();
-        Fields.map(m.get("cluster")).put("machine_limits", Map.of("fd_limit", sockets));
-        assertEquals(waiting, Sizes.backlog(Settings.of(m, Operators.defaults())));
+        Fields.asMap(m.get("cluster")).put("machine_limits", Map.of("fd_limit", sockets));
+        assertEquals(waiting, ControllerSizing.backlog(Settings.of(m, OperatorSettings.defaults())));
     }
 
     @ParameterizedTest(name = "{0}.{1}")
     @CsvSource({"shares, t, -1", "log, format, xml", "machines, spot_risk, 0", "machins, a, 1"})
     void operatorsMistakesAreErrors(String table, String field, String value) {
         Object v = value.matches("-?\\d+") ? (Object) Long.parseLong(value) : value;
-        assertThrows(Settings.Invalid.class, () -> Operators.of(Map.of(table, Map.of(field, v))));
+        assertThrows(
+                Settings.InvalidSettingException.class, () -> OperatorSettings.of(Map.of(table, Map.of(field, v))));
     }
 }
--- a/src/test/java/org/mountlug/store/RecordCodecTest.java
+++ b/src/test/java/org/mountlug/store/JobRecordCodecTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.mountlug.Samples;
+import org.mountlug.Fixtures;
 import org.mountlug.core.cluster.Cluster;
 import org.mountlug.core.cluster.Machine;
 import org.mountlug.core.model.Job;
@@ -20,33 +20,33 @@
 import org.mountlug.wire.Json;
 
 /** Records survive the trip to the state service, and the largest job's fits the value limit. */
-class RecordCodecTest {
+class JobRecordCodecTest {
     private static Job trip(Job j) throws IOException {
-        return RecordCodec.job(j.spec.id(), Cbor.readMap(Cbor.write(RecordCodec.job(j, "7.1"))), 9, 0);
+        return JobRecordCodec.read(j.spec.id(), Cbor.readMap(Cbor.write(JobRecordCodec.write(j, "7.1"))), 9, 0);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 64, 1000})
     void progressSurvives(int tasks) throws IOException {
-        Cluster c = Samples.cluster();
-        Machine m = Samples.up(c, "n-1", "small", "a");
-        Job j = Samples.live(c, Samples.array("wk-000001", tasks));
+        Cluster c = Fixtures.cluster();
+        Machine m = Fixtures.addMachine(c, "n-1", "small", "a");
+        Job j = Fixtures.addJob(c, Fixtures.array("wk-000001", tasks));
         for (int t = 0; t < tasks; t++) {
             if (t % 3 != 1) {
-                j.done.set(t);
+                j.doneTasks.set(t);
             } else {
-                c.place(j, t, ++j.attempts, m, 0);
+                c.place(j, t, ++j.lastAttempt, m, 0);
             }
         }
-        j.failures.put(0, 4);
+        j.failuresByTask.put(0, 4);
         Job k = trip(j);
-        assertEquals(j.done, k.done);
-        assertEquals(j.placed.keySet(), k.placed.keySet());
-        assertEquals(j.attempts, k.attempts);
-        assertEquals(4, k.failures.get(0));
-        assertEquals(j.spec.need(), k.spec.need());
-        k.placed.values().forEach(p -> assertEquals("a", p.zone));
-        assertTrue(k.placed.values().stream().allMatch(p -> k.durable(p.task, p.version)));
+        assertEquals(j.doneTasks, k.doneTasks);
+        assertEquals(j.placements.keySet(), k.placements.keySet());
+        assertEquals(j.lastAttempt, k.lastAttempt);
+        assertEquals(4, k.failuresByTask.get(0));
+        assertEquals(j.spec.request(), k.spec.request());
+        k.placements.values().forEach(p -> assertEquals("a", p.zone));
+        assertTrue(k.placements.values().stream().allMatch(p -> k.isDurable(p.task, p.version)));
     }
 
     /** However tasks are placed within the room and end again, and whatever the machines, no record passes its limit. */
@@ -64,15 +64,15 @@
     })
     void theRoomOfARecordIsNeverPassed(int tasks, int each, String order) throws IOException {
         Random random = new Random(tasks + each);
-        Cluster c = Samples.cluster();
-        Job j = Samples.live(c, Samples.array("wk-000001", tasks));
+        Cluster c = Fixtures.cluster();
+        Job j = Fixtures.addJob(c, Fixtures.array("wk-000001", tasks));
         int most = 0;
         for (int round = 0; round < 60; round++) {
-            int room = c.recordRoom(j);
-            j.attempts++;
+            int room = c.remainingRecordTasks(j);
+            j.lastAttempt++;
             Machine m = null;
-            for (int t = j.done.nextClearBit(0), k = 0; t < tasks && k < room; t++) {
-                if (j.done.get(t) || j.placed.containsKey(t)) {
+            for (int t = j.doneTasks.nextClearBit(0), k = 0; t < tasks && k < room; t++) {
+                if (j.doneTasks.get(t) || j.placements.containsKey(t)) {
                     continue;
                 }
                 if (k++ % each == 0) {
@@ -80,28 +80,29 @@
                     m.zone = k % 3 == 0 ? "a" : "b";
                     m.session = 1 + random.nextInt(30);
                 }
-                c.place(j, t, j.attempts, m, 0);
+                c.place(j, t, j.lastAttempt, m, 0);
             }
-            most = Math.max(most, j.placed.size());
-            for (int t : j.placed.keySet().toIntArray()) {
+            most = Math.max(most, j.placements.size());
+            for (int t : j.placements.keySet().toIntArray()) {
                 if (order.equals("random") ? random.nextInt(4) != 0 : t % 2 == round % 2) {
                     continue;
                 }
-                j.placed.remove(t);
-                j.done.set(t);
+                j.placements.remove(t);
+                j.doneTasks.set(t);
             }
-            assertTrue(Json.length(RecordCodec.job(j, "999999.999999")) <= 8 * 1024);
+            assertTrue(Json.length(JobRecordCodec.write(j, "999999.999999")) <= 8 * 1024);
             Job k = trip(j);
-            assertEquals(j.done, k.done);
-            assertEquals(j.placed.keySet(), k.placed.keySet());
-            j.placed.forEach((t, p) -> {
-                Placement q = k.placed.get(t);
+            assertEquals(j.doneTasks, k.doneTasks);
+            assertEquals(j.placements.keySet(), k.placements.keySet());
+            j.placements.forEach((t, p) -> {
+                Placement q = k.placements.get(t);
                 assertEquals(
                         List.of(p.machine, p.zone, p.session, p.attempt),
                         List.of(q.machine, q.zone, q.session, q.attempt));
             });
-            RecordCodec.TaskCounts counts = RecordCodec.counts(RecordCodec.job(j, "7.1"));
-            assertEquals(List.of(j.done.cardinality(), j.placed.size()), List.of(counts.done(), counts.placed()));
+            JobRecordCodec.TaskCounts counts = JobRecordCodec.taskCounts(JobRecordCodec.write(j, "7.1"));
+            assertEquals(
+                    List.of(j.doneTasks.cardinality(), j.placements.size()), List.of(counts.done(), counts.placed()));
         }
         assertTrue(most >= Math.min(tasks, 120), "room for " + most);
     }
@@ -113,11 +114,11 @@
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Machine machine = new Machine(String.format("n-%06d", i), 0);
-            machine.images.add("img-" + i % 12);
-            machine.images.add("img-" + i % 7);
+            machine.cachedImages.add("img-" + i % 12);
+            machine.cachedImages.add("img-" + i % 7);
             machines.add(machine);
         }
-        List<Map<String, Object>> notes = ImageCodec.notes(machines, chars);
+        List<Map<String, Object>> notes = ImageIndexCodec.write(machines, chars);
         assertTrue(notes.size() <= most, notes.size() + " notes");
         int noted = 0;
         for (Map<String, Object> note : notes) {
@@ -125,8 +126,8 @@
             noted += note.size();
         }
         assertEquals(count, noted);
-        machines.get(count / 2).images.add("img-new");
-        List<Map<String, Object>> later = ImageCodec.notes(machines, chars);
+        machines.get(count / 2).cachedImages.add("img-new");
+        List<Map<String, Object>> later = ImageIndexCodec.write(machines, chars);
         assertEquals(notes.size(), later.size());
         int changed = 0;
         for (int i = 0; i < notes.size(); i++) {
