--- a/src/main/java/org/mountlug/core/allocate/Allocator.java
+++ b/src/main/java/org/mountlug/core/allocate/Allocator.java
@@ -15,164 +15,179 @@
 import org.mountlug.core.zone.ZoneMonitor;
 
 /**
- * One round of the design: pipelined gangs first, each task on the machine it is nominated for, then everything
- * pending from the teams' queues.
+ * Runs one allocation round: first the gangs that hold reservations, each task on its reserved machine if possible, then
+ * all other pending jobs from the teams' queues.
  */
 public final class Allocator {
-    private final RoundState view;
-    private final GangPlacer gangs;
-    private final ArrayPlacer arrays;
-    private final ReplicaPlacer replicas;
-    private final GangMachineHolds holding;
+    private final RoundState round;
+    private final GangPlacer gangPlacer;
+    private final ArrayPlacer arrayPlacer;
+    private final ReplicaPlacer replicaPlacer;
+    private final GangMachineHolds gangMachineHolds;
 
-    /** Makes the view of the usable machines for one round; {@code dueOrder} sorts jobs within a queue. */
+    /**
+     * Prepares one round with a view of each machine that accepts work.
+     *
+     * @param orderKey key by which the jobs of a queue are sorted, lowest first
+     * @param nowS monotonic time of the round in seconds
+     */
     public Allocator(
-            Cluster cluster, ZoneMonitor zones, ToDoubleFunction<Job> orderKey, ReplicaStartTimes times, double nowS) {
-        view = new RoundState(cluster, zones, orderKey, times, nowS);
-        gangs = new GangPlacer(view);
-        arrays = new ArrayPlacer(view);
-        replicas = new ReplicaPlacer(view);
-        holding = new GangMachineHolds(view);
+            Cluster cluster,
+            ZoneMonitor zones,
+            ToDoubleFunction<Job> orderKey,
+            ReplicaStartTimes startTimes,
+            double nowS) {
+        round = new RoundState(cluster, zones, orderKey, startTimes, nowS);
+        gangPlacer = new GangPlacer(round);
+        arrayPlacer = new ArrayPlacer(round);
+        replicaPlacer = new ReplicaPlacer(round);
+        gangMachineHolds = new GangMachineHolds(round);
     }
 
-    /** The view of the machines as this round leaves it. */
+    /** Returns the machine views by machine name; after {@link #allocate} they include this round's placements. */
     public Map<String, MachineView> machineViews() {
-        return view.machineViews;
+        return round.machineViews;
     }
 
-    /** What each team uses, this round included. */
+    /** Returns the resources that each team uses; after {@link #allocate} they include this round's placements. */
     public Map<String, Resources> usage() {
-        return view.usageByTeam;
+        return round.usageByTeam;
     }
 
-    /** Runs the round on the view.cluster; returns how many tasks were placed. */
+    /** Runs the round, records its placements in the cluster and returns how many tasks were placed. */
     public int allocate() {
-        // Last round's reservations stand in the view before anything is tried.
-        for (Map.Entry<String, List<Reservation>> e : view.cluster.reservations.entrySet()) {
-            Job j = view.cluster.jobs.get(e.getKey());
-            for (Reservation r : e.getValue()) {
-                MachineView n = view.machineViews.get(r.machine());
-                if (j != null && n != null) {
-                    n.reserved = n.reserved.plus(j.spec.request());
+        // Charges the reservations of the last round to the machine views before any job is placed.
+        for (Map.Entry<String, List<Reservation>> entry : round.cluster.reservations.entrySet()) {
+            Job job = round.cluster.jobs.get(entry.getKey());
+            for (Reservation reservation : entry.getValue()) {
+                MachineView machineView = round.machineViews.get(reservation.machine());
+                if (job != null && machineView != null) {
+                    machineView.reserved = machineView.reserved.plus(job.spec.request());
                 }
             }
         }
-        holding.releaseUnneeded();
+        gangMachineHolds.releaseUnneeded();
         List<Job> pipelined = new ArrayList<>();
         List<Job> pending = new ArrayList<>();
-        for (Job j : view.cluster.jobs.values()) {
-            boolean gangReady = !j.spec.isGang() || j.placements.isEmpty();
-            if (j.cancelled || j.pendingTaskCount() <= 0 || !gangReady) {
-                view.releaseReservations(j);
+        for (Job job : round.cluster.jobs.values()) {
+            // A gang is placed as a whole, so it waits until no task of an earlier attempt is left.
+            boolean placeable = !job.spec.isGang() || job.placements.isEmpty();
+            if (job.cancelled || job.pendingTaskCount() <= 0 || !placeable) {
+                round.releaseReservations(job);
                 continue;
             }
-            (view.cluster.reservations.containsKey(j.spec.id()) ? pipelined : pending).add(j);
+            (round.cluster.reservations.containsKey(job.spec.id()) ? pipelined : pending).add(job);
         }
-        serve(pipelined);
-        serve(pending);
-        view.cluster.serviceWaiting = false;
-        for (Job j : pending) {
-            view.cluster.serviceWaiting |= j.spec.isService() && j.pendingTaskCount() > 0;
+        placeInQueueOrder(pipelined);
+        placeInQueueOrder(pending);
+        round.cluster.serviceWaiting = false;
+        for (Job job : pending) {
+            round.cluster.serviceWaiting |= job.spec.isService() && job.pendingTaskCount() > 0;
         }
-        holding.holdMachines(pending);
+        gangMachineHolds.holdMachines(pending);
         placeOverflow(pending);
-        for (Job j : pending) {
-            if (!j.spec.isGang() && j.pendingTaskCount() > 0 && packsBadly(j)) {
-                arrays.place(j, false);
+        for (Job job : pending) {
+            if (!job.spec.isGang() && job.pendingTaskCount() > 0 && packsPoorly(job)) {
+                arrayPlacer.place(job, false);
             }
         }
-        arrays.placeOnStandby(pending);
-        return view.placedCount();
+        arrayPlacer.placeOnStandby(pending);
+        return round.placedCount();
     }
 
-    private void serve(List<Job> jobs) {
-        TeamQueues q = view.teamQueues(jobs);
-        for (Job j = q.next(); j != null; j = q.next()) {
-            if (j.spec.isGang()) {
-                gangs.place(j);
-            } else if (j.spec.isService()) {
-                replicas.place(j);
-            } else if (!packsBadly(j)) {
-                arrays.place(j, false);
+    /** Places jobs in the order of their queues; arrays that pack poorly on CPU machines are left for later. */
+    private void placeInQueueOrder(List<Job> jobs) {
+        TeamQueues queues = round.teamQueues(jobs);
+        for (Job job = queues.next(); job != null; job = queues.next()) {
+            if (job.spec.isGang()) {
+                gangPlacer.place(job);
+            } else if (job.spec.isService()) {
+                replicaPlacer.place(job);
+            } else if (!packsPoorly(job)) {
+                arrayPlacer.place(job, false);
             }
         }
     }
 
     /**
-     * Work that the cheap machines cannot serve in time gets what accelerator work leaves on accelerator machines. Where
-     * accelerator work waits, some machines are barred from it, so that they empty as short tasks end: without that,
-     * view.whole-machine gangs would starve behind a stream of small tasks.
+     * Places CPU-only jobs that the CPU machines cannot serve in time on capacity that accelerator work leaves free on
+     * accelerator machines. While accelerator jobs wait, overflow is blocked on some accelerator machines, so that these
+     * empty as short tasks end; otherwise gangs that need whole machines would starve behind a stream of small tasks.
      */
     private void placeOverflow(List<Job> pending) {
-        double waiting = 0;
-        for (Job j : pending) {
-            if (j.spec.request().gpus() == 0
-                    || j.pendingTaskCount() <= 0
-                    || j.failureHistory.isSuspected()
-                    || view.cluster.reservations.containsKey(j.spec.id())) {
+        double waitingMachines = 0;
+        for (Job job : pending) {
+            if (job.spec.request().gpus() == 0
+                    || job.pendingTaskCount() <= 0
+                    || job.failureHistory.isSuspected()
+                    || round.cluster.reservations.containsKey(job.spec.id())) {
                 continue;
             }
-            double share = 1;
-            for (MachineView n : view.machineViews.values()) {
-                if (j.spec.allows(n.machine.type.name(), n.machine.zone, n.machine.spot)
-                        && j.spec.request().fitsIn(n.machine.type.capacity())) {
-                    share = Math.min(share, j.spec.request().dominantShareOf(n.machine.type.capacity()));
+            double machineShare = 1;
+            for (MachineView machineView : round.machineViews.values()) {
+                if (job.spec.allows(machineView.machine.type.name(), machineView.machine.zone, machineView.machine.spot)
+                        && job.spec.request().fitsIn(machineView.machine.type.capacity())) {
+                    machineShare = Math.min(
+                            machineShare, job.spec.request().dominantShareOf(machineView.machine.type.capacity()));
                 }
             }
-            waiting += Math.min(j.pendingTaskCount(), Constants.OVERFLOW_BLOCK_TASKS) * share;
+            waitingMachines += Math.min(job.pendingTaskCount(), Constants.OVERFLOW_BLOCK_TASKS) * machineShare;
         }
-        List<MachineView> acceleratorNodes = new ArrayList<>();
-        for (MachineView n : view.machineViews.values()) {
-            if (n.machine.type.capacity().gpus() > 0) {
-                acceleratorNodes.add(n);
+        List<MachineView> acceleratorMachines = new ArrayList<>();
+        for (MachineView machineView : round.machineViews.values()) {
+            if (machineView.machine.type.capacity().gpus() > 0) {
+                acceleratorMachines.add(machineView);
             }
         }
-        // The machines with most free accelerators empty first; those barred before stay so.
-        acceleratorNodes.sort(Comparator.comparing((MachineView n) -> n.machine.noOverflowUntilS <= view.nowS)
-                .thenComparingDouble(n -> -n.free.dominantShareOf(n.machine.type.capacity()))
-                .thenComparing(n -> n.machine.name));
-        int bar =
-                (int) Math.min(Math.ceil(waiting), Math.ceil(acceleratorNodes.size() * Constants.OVERFLOW_BLOCK_SHARE));
-        for (int i = 0; i < acceleratorNodes.size(); i++) {
-            Machine m = acceleratorNodes.get(i).machine;
-            if (i < bar) {
-                m.noOverflowUntilS = Math.max(m.noOverflowUntilS, view.nowS + Constants.OVERFLOW_BLOCK_S);
-            } else if (waiting == 0) {
-                m.noOverflowUntilS = Double.NEGATIVE_INFINITY;
+        // Machines that are blocked already come first and stay blocked, then those with the largest free share.
+        acceleratorMachines.sort(
+                Comparator.comparing((MachineView machineView) -> machineView.machine.noOverflowUntilS <= round.nowS)
+                        .thenComparingDouble(
+                                machineView -> -machineView.free.dominantShareOf(machineView.machine.type.capacity()))
+                        .thenComparing(machineView -> machineView.machine.name));
+        int blockedCount = (int) Math.min(
+                Math.ceil(waitingMachines), Math.ceil(acceleratorMachines.size() * Constants.OVERFLOW_BLOCK_SHARE));
+        for (int i = 0; i < acceleratorMachines.size(); i++) {
+            Machine machine = acceleratorMachines.get(i).machine;
+            if (i < blockedCount) {
+                machine.noOverflowUntilS = Math.max(machine.noOverflowUntilS, round.nowS + Constants.OVERFLOW_BLOCK_S);
+            } else if (waitingMachines == 0) {
+                machine.noOverflowUntilS = Double.NEGATIVE_INFINITY;
             }
         }
-        List<Job> jobs = new ArrayList<>();
-        for (Job j : pending) {
-            if (j.pendingTaskCount() > 0
-                    && !j.spec.isGang()
-                    && j.spec.request().gpus() == 0
-                    && view.cluster.overflowJobs.contains(j.spec.id())) {
-                jobs.add(j);
+        List<Job> overflowJobs = new ArrayList<>();
+        for (Job job : pending) {
+            if (job.pendingTaskCount() > 0
+                    && !job.spec.isGang()
+                    && job.spec.request().gpus() == 0
+                    && round.cluster.overflowJobs.contains(job.spec.id())) {
+                overflowJobs.add(job);
             }
         }
-        TeamQueues q = view.teamQueues(jobs);
-        for (Job j = q.next(); j != null; j = q.next()) {
-            arrays.place(j, true);
+        TeamQueues queues = round.teamQueues(overflowJobs);
+        for (Job job = queues.next(); job != null; job = queues.next()) {
+            arrayPlacer.place(job, true);
         }
     }
 
     /**
-     * Overflowing work of which a cheap machine would hold so few tasks that much of it stays empty: it gets the cheap
-     * machines last, as it has the accelerator machines, while what fills the cheap machines has only those.
+     * Whether the job may overflow and its tasks would leave much of every CPU machine empty. Such a job is placed on
+     * CPU machines last, because it may use accelerator machines as well, while other CPU-only jobs may not.
      */
-    private boolean packsBadly(Job j) {
-        if (!view.cluster.overflowJobs.contains(j.spec.id())) {
+    private boolean packsPoorly(Job job) {
+        if (!round.cluster.overflowJobs.contains(job.spec.id())) {
             return false;
         }
-        double best = 0;
-        for (MachineType t : view.cluster.types()) {
-            if (t.capacity().gpus() > 0 || !j.spec.canEverRunOn(t)) {
+        double bestShare = 0;
+        for (MachineType type : round.cluster.types()) {
+            if (type.capacity().gpus() > 0 || !job.spec.canEverRunOn(type)) {
                 continue;
             }
-            best = Math.max(
-                    best,
-                    j.spec.request().countIn(t.capacity()) * j.spec.request().dominantShareOf(t.capacity()));
+            bestShare = Math.max(
+                    bestShare,
+                    job.spec.request().countIn(type.capacity())
+                            * job.spec.request().dominantShareOf(type.capacity()));
         }
-        return best < Constants.MIN_PACKING_SHARE;
+        return bestShare < Constants.MIN_PACKING_SHARE;
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/ArrayPlacer.java
+++ b/src/main/java/org/mountlug/core/allocate/ArrayPlacer.java
@@ -13,216 +13,222 @@
 import org.mountlug.core.model.Resources;
 import org.mountlug.core.model.Team;
 
-/** Array tasks, each for itself: on room that is idle now, or on room that running tasks are about to leave. */
+/** Places array tasks independently of each other, on free capacity or on capacity that running tasks should soon free. */
 final class ArrayPlacer {
-    private final RoundState view;
+    private final RoundState round;
 
-    ArrayPlacer(RoundState view) {
-        this.view = view;
+    ArrayPlacer(RoundState round) {
+        this.round = round;
     }
 
-    /** Places what there is room for; {@code overflowing} work may have whole accelerator machines. */
+    /**
+     * Places as many tasks of an array as fit now.
+     *
+     * @param overflowing whether the job is overflow: placed only on accelerator machines, of which it may fill the whole
+     */
     void place(Job job, boolean overflowing) {
-        int most = mostTasks(job);
-        if (most <= 0 || view.unplaceableRequests.includes(job.spec, overflowing)) {
+        int maxTasks = maxTasksToPlace(job);
+        if (maxTasks <= 0 || round.unplaceableRequests.includes(job.spec, overflowing)) {
             return;
         }
-        List<MachineView> fitting = fitting(job, overflowing);
+        List<MachineView> fitting = findFittingMachines(job, overflowing);
         if (fitting.isEmpty()) {
-            view.unplaceableRequests.add(job.spec, overflowing);
+            round.unplaceableRequests.add(job.spec, overflowing);
             return;
         }
-        new Attempt(job, most).over(fitting, overflowing);
+        new ArrayPlacement(job, maxTasks).placeOn(fitting, overflowing);
     }
 
-    private int mostTasks(Job job) {
-        int most = view.cluster.remainingRecordTasks(job);
+    private int maxTasksToPlace(Job job) {
+        int maxTasks = round.cluster.remainingRecordTasks(job);
         if (job.failureHistory.isSuspected()) {
-            // One task at a time tells whether it still fails; more would only take room from others.
-            return Math.min(most, job.placements.isEmpty() ? 1 : 0);
+            // One running task shows whether a suspected job still fails; more would take capacity from other jobs.
+            return Math.min(maxTasks, job.placements.isEmpty() ? 1 : 0);
         }
-        return most;
+        return maxTasks;
     }
 
-    /** Machines with room for a task, the cheapest first. */
-    private List<MachineView> fitting(Job job, boolean overflowing) {
+    /** Returns the machines that can run a task of the job now, those with the lowest placement cost first. */
+    private List<MachineView> findFittingMachines(Job job, boolean overflowing) {
         List<MachineView> fitting = new ArrayList<>();
-        Map<MachineView, Double> costs = new HashMap<>();
-        for (MachineView node : view.machineViews.values()) {
-            Machine machine = node.machine;
-            boolean barred =
-                    overflowing && (machine.type.capacity().gpus() == 0 || machine.noOverflowUntilS > view.nowS);
+        Map<MachineView, Double> costsS = new HashMap<>();
+        for (MachineView machineView : round.machineViews.values()) {
+            Machine machine = machineView.machine;
+            boolean overflowBlocked =
+                    overflowing && (machine.type.capacity().gpus() == 0 || machine.noOverflowUntilS > round.nowS);
             if (machine.heldForGang == null
-                    && !barred
+                    && !overflowBlocked
                     && job.spec.allows(machine.type.name(), machine.zone, machine.spot)
-                    && node.countFittingNow(job.spec.request(), overflowing) > 0) {
-                fitting.add(node);
-                costs.put(node, view.placementCost(job, node));
+                    && machineView.countFittingNow(job.spec.request(), overflowing) > 0) {
+                fitting.add(machineView);
+                costsS.put(machineView, round.placementCostS(job, machineView));
             }
         }
-        fitting.sort(Comparator.comparingDouble((MachineView node) -> costs.get(node))
-                .thenComparing(node -> node.machine.name));
+        fitting.sort(Comparator.comparingDouble((MachineView machineView) -> costsS.get(machineView))
+                .thenComparing(machineView -> machineView.machine.name));
         return fitting;
     }
 
-    /** The placing of one array in one round: task by task, machine by machine, within its zones and its team's limit. */
-    private final class Attempt {
+    /** Places the tasks of one array in one round, within the job's zone rules and its team's limit. */
+    private final class ArrayPlacement {
         private final Job job;
-        private final Resources need;
+        private final Resources request;
         private final Team team;
-        private final PlacementTransaction statement;
-        private final Map<String, Integer> perZone = new HashMap<>();
-        /** The zone of its tasks so far, null while it has none. */
-        private String zoneOfAll;
+        private final PlacementTransaction transaction;
+        private final Map<String, Integer> tasksByZone = new HashMap<>();
+        /** Zone of a task placed before, read only for jobs bound to one zone; null while no task is placed. */
+        private String firstZone;
 
         private Resources usedByTeam;
-        private int left;
+        private int remainingTasks;
         private int nextTask;
 
-        Attempt(Job job, int most) {
+        ArrayPlacement(Job job, int maxTasks) {
             this.job = job;
-            need = job.spec.request();
-            team = view.cluster.team(job.spec.team());
-            statement = new PlacementTransaction(job);
-            usedByTeam = view.usageByTeam.getOrDefault(job.spec.team(), Resources.ZERO);
-            left = most;
+            request = job.spec.request();
+            team = round.cluster.team(job.spec.team());
+            transaction = new PlacementTransaction(job);
+            usedByTeam = round.usageByTeam.getOrDefault(job.spec.team(), Resources.ZERO);
+            remainingTasks = maxTasks;
             nextTask = job.doneTasks.nextClearBit(0);
             if (job.spec.oneZone() || job.spec.spreadAcrossZones()) {
                 for (Placement placement : job.placements.values()) {
-                    perZone.merge(placement.zone, 1, Integer::sum);
-                    zoneOfAll = placement.zone;
+                    tasksByZone.merge(placement.zone, 1, Integer::sum);
+                    firstZone = placement.zone;
                 }
             }
         }
 
-        void over(List<MachineView> nodes, boolean overflowing) {
-            for (MachineView node : nodes) {
-                boolean otherZone = zoneOfAll != null && !zoneOfAll.equals(node.machine.zone);
+        void placeOn(List<MachineView> candidates, boolean overflowing) {
+            for (MachineView machineView : candidates) {
+                boolean otherZone = firstZone != null && !firstZone.equals(machineView.machine.zone);
                 if (job.spec.oneZone() && otherZone) {
                     continue;
                 }
-                fill(node, node.countFittingNow(need, overflowing));
-                if (nextTask >= job.spec.tasks() || left <= 0) {
+                placeOnMachine(machineView, machineView.countFittingNow(request, overflowing));
+                if (nextTask >= job.spec.tasks() || remainingTasks <= 0) {
                     break;
                 }
             }
-            if (statement.isReady(1)) {
-                view.usageByTeam.put(job.spec.team(), usedByTeam);
-                view.commit(statement);
+            if (transaction.isReady(1)) {
+                round.usageByTeam.put(job.spec.team(), usedByTeam);
+                round.commit(transaction);
             }
         }
 
-        private void fill(MachineView node, int count) {
-            String zone = node.machine.zone;
-            for (int slot = 0; slot < count && left > 0; slot++) {
-                findNextTask();
+        private void placeOnMachine(MachineView machineView, int fittingCount) {
+            String zone = machineView.machine.zone;
+            for (int placed = 0; placed < fittingCount && remainingTasks > 0; placed++) {
+                skipToNextTask();
                 boolean zoneFull =
-                        job.spec.spreadAcrossZones() && perZone.getOrDefault(zone, 0) >= job.spec.maxTasksPerZone();
+                        job.spec.spreadAcrossZones() && tasksByZone.getOrDefault(zone, 0) >= job.spec.maxTasksPerZone();
                 if (nextTask >= job.spec.tasks() || zoneFull) {
                     return;
                 }
-                if (team != null && !team.isWithinLimit(usedByTeam.plus(need))) {
-                    left = 0;
+                if (team != null && !team.isWithinLimit(usedByTeam.plus(request))) {
+                    remainingTasks = 0;
                     return;
                 }
-                statement.allocate(nextTask++, node);
-                usedByTeam = usedByTeam.plus(need);
-                perZone.merge(zone, 1, Integer::sum);
-                zoneOfAll = zoneOfAll == null ? zone : zoneOfAll;
-                left--;
+                transaction.allocate(nextTask++, machineView);
+                usedByTeam = usedByTeam.plus(request);
+                tasksByZone.merge(zone, 1, Integer::sum);
+                firstZone = firstZone == null ? zone : firstZone;
+                remainingTasks--;
             }
         }
 
-        private void findNextTask() {
-            while (nextTask < job.spec.tasks() && !job.needsPlacement(nextTask, view.nowS)) {
+        private void skipToNextTask() {
+            while (nextTask < job.spec.tasks() && !job.needsPlacement(nextTask, round.nowS)) {
                 nextTask++;
             }
         }
     }
 
     /**
-     * Room that running tasks are about to leave is given to queued array tasks ahead of time: written now, started in
-     * the answer to the very report that shows the room free. Without it each slot idles from one report to the next
-     * between two tasks, which for tasks of some seconds is a good part of the fleet. It is the design's pipelining
-     * for tasks that wait for nothing but room.
+     * Places array tasks on standby, on capacity that running tasks should free soon. The placement is persisted now and the
+     * task is started in the response to the report that shows the capacity free. Otherwise the capacity would stay idle
+     * from one report to the next between two tasks, which for tasks of a few seconds is a large part of the fleet.
      */
     void placeOnStandby(List<Job> pending) {
         List<Job> jobs = new ArrayList<>();
-        for (Job j : pending) {
-            if (!j.spec.isGang()
-                    && !j.spec.isService()
-                    && !j.spec.spreadAcrossZones()
-                    && !j.failureHistory.isSuspected()
-                    && j.pendingTaskCount() > 0) {
-                jobs.add(j);
+        for (Job job : pending) {
+            if (!job.spec.isGang()
+                    && !job.spec.isService()
+                    && !job.spec.spreadAcrossZones()
+                    && !job.failureHistory.isSuspected()
+                    && job.pendingTaskCount() > 0) {
+                jobs.add(job);
             }
         }
         if (jobs.isEmpty()) {
             return;
         }
-        Map<MachineView, Resources> soon = new LinkedHashMap<>();
-        for (MachineView n : view.machineViews.values()) {
-            // On accelerator machines room is fought over by priority, and a gang wants several slots at once.
-            if (n.machine.type.capacity().gpus() > 0
-                    || n.machine.heldForGang != null
-                    || n.hasStartBudget()
-                    || !n.reserved.isZero()
-                    || !n.machine.orphans.isEmpty()) {
+        Map<MachineView, Resources> expectedCapacities = new LinkedHashMap<>();
+        for (MachineView machineView : round.machineViews.values()) {
+            // Accelerator machines get no standbys: jobs compete for them by priority, and gangs need several
+            // places at once.
+            if (machineView.machine.type.capacity().gpus() > 0
+                    || machineView.machine.heldForGang != null
+                    || machineView.hasStartBudget()
+                    || !machineView.reserved.isZero()
+                    || !machineView.machine.orphans.isEmpty()) {
                 continue;
             }
-            Resources r = Resources.ZERO;
-            for (Placement p : n.machine.placements.values()) {
-                if (p.standby) {
-                    r = r.minus(p.job.spec.request());
-                } else if (!Double.isNaN(p.runningSinceS) && !p.stopping) {
-                    double left = view.cluster.expectedRunS(p.job) - (view.nowS - p.runningSinceS);
-                    if (left < Constants.STANDBY_LEAD_TIME_S) {
-                        r = r.plus(p.job.spec.request());
+            Resources expectedCapacity = Resources.ZERO;
+            for (Placement placement : machineView.machine.placements.values()) {
+                if (placement.standby) {
+                    expectedCapacity = expectedCapacity.minus(placement.job.spec.request());
+                } else if (!Double.isNaN(placement.runningSinceS) && !placement.stopping) {
+                    double remainingS =
+                            round.cluster.expectedRunS(placement.job) - (round.nowS - placement.runningSinceS);
+                    if (remainingS < Constants.STANDBY_LEAD_TIME_S) {
+                        expectedCapacity = expectedCapacity.plus(placement.job.spec.request());
                     }
                 }
             }
-            if (r.cpus() > 0) {
-                soon.put(n, r);
+            if (expectedCapacity.cpus() > 0) {
+                expectedCapacities.put(machineView, expectedCapacity);
             }
         }
-        TeamQueues q = view.teamQueues(jobs);
-        for (Job j = q.next(); j != null && !soon.isEmpty(); j = q.next()) {
-            placeOnStandby(j, soon);
+        TeamQueues queues = round.teamQueues(jobs);
+        for (Job job = queues.next(); job != null && !expectedCapacities.isEmpty(); job = queues.next()) {
+            placeOnStandby(job, expectedCapacities);
         }
     }
 
-    private void placeOnStandby(Job j, Map<MachineView, Resources> soon) {
-        Resources need = j.spec.request();
-        Team team = view.cluster.team(j.spec.team());
-        int budget = view.cluster.remainingRecordTasks(j);
-        int task = j.doneTasks.nextClearBit(0);
-        boolean any = false;
-        for (Map.Entry<MachineView, Resources> e : soon.entrySet()) {
-            Machine m = e.getKey().machine;
-            if (!j.spec.allows(m.type.name(), m.zone, m.spot)) {
+    /** Places tasks of one job on standby and subtracts their requests from the expected capacity of their machines. */
+    private void placeOnStandby(Job job, Map<MachineView, Resources> expectedCapacities) {
+        Resources request = job.spec.request();
+        Team team = round.cluster.team(job.spec.team());
+        int remainingTasks = round.cluster.remainingRecordTasks(job);
+        int task = job.doneTasks.nextClearBit(0);
+        boolean attemptNumbered = false;
+        for (Map.Entry<MachineView, Resources> entry : expectedCapacities.entrySet()) {
+            Machine machine = entry.getKey().machine;
+            if (!job.spec.allows(machine.type.name(), machine.zone, machine.spot)) {
                 continue;
             }
-            while (budget > 0 && need.fitsIn(e.getValue()) && j.zoneRulesAllow(m.zone, 1)) {
-                while (task < j.spec.tasks() && !j.needsPlacement(task, view.nowS)) {
+            while (remainingTasks > 0 && request.fitsIn(entry.getValue()) && job.zoneRulesAllow(machine.zone, 1)) {
+                while (task < job.spec.tasks() && !job.needsPlacement(task, round.nowS)) {
                     task++;
                 }
-                if (task >= j.spec.tasks()) {
+                if (task >= job.spec.tasks()) {
                     return;
                 }
-                Resources used = view.usageByTeam
-                        .getOrDefault(j.spec.team(), Resources.ZERO)
-                        .plus(need);
-                if (team != null && !team.isWithinLimit(used)) {
+                Resources usedByTeam = round.usageByTeam
+                        .getOrDefault(job.spec.team(), Resources.ZERO)
+                        .plus(request);
+                if (team != null && !team.isWithinLimit(usedByTeam)) {
                     return;
                 }
-                if (!any) {
-                    any = true;
-                    j.lastAttempt++;
+                if (!attemptNumbered) {
+                    attemptNumbered = true;
+                    job.lastAttempt++;
                 }
-                view.cluster.place(j, task, j.lastAttempt, m, view.nowS).standby = true;
-                view.usageByTeam.put(j.spec.team(), used);
-                e.setValue(e.getValue().minus(need));
-                budget--;
+                round.cluster.place(job, task, job.lastAttempt, machine, round.nowS).standby = true;
+                round.usageByTeam.put(job.spec.team(), usedByTeam);
+                entry.setValue(entry.getValue().minus(request));
+                remainingTasks--;
             }
         }
     }
--- a/src/main/java/org/mountlug/core/allocate/GangMachineHolds.java
+++ b/src/main/java/org/mountlug/core/allocate/GangMachineHolds.java
@@ -11,93 +11,97 @@
 import org.mountlug.core.model.Placement;
 import org.mountlug.core.model.Resources;
 
-/** Keeps machines that should be free first for gangs that found no room, from one round to the next. */
+/** Holds machines for gangs that could be neither placed nor reserved, from one round to the next. */
 final class GangMachineHolds {
-    private final RoundState view;
+    private final RoundState round;
 
-    GangMachineHolds(RoundState view) {
-        this.view = view;
+    GangMachineHolds(RoundState round) {
+        this.round = round;
     }
 
-    /** Lets go of machines whose gang needs them no more. */
+    /** Releases held machines whose gang is gone, cancelled, placed or has reservations. */
     void releaseUnneeded() {
-        for (Machine m : view.cluster.machines.values()) {
-            Job j = m.heldForGang == null ? null : view.cluster.jobs.get(m.heldForGang);
-            if (j == null
-                    || j.cancelled
-                    || !j.placements.isEmpty()
-                    || view.cluster.reservations.containsKey(m.heldForGang)) {
-                m.heldForGang = null;
+        for (Machine machine : round.cluster.machines.values()) {
+            Job job = machine.heldForGang == null ? null : round.cluster.jobs.get(machine.heldForGang);
+            if (job == null
+                    || job.cancelled
+                    || !job.placements.isEmpty()
+                    || round.cluster.reservations.containsKey(machine.heldForGang)) {
+                machine.heldForGang = null;
             }
         }
     }
 
     /**
-     * A gang that found neither idle nor releasing room keeps the machines that should be free first from being filled
-     * again. The design reserves room that tasks were told to leave; this does the same for room that tasks are about
-     * to leave by themselves, without which a gang of view.whole machines starves behind a stream of small tasks.
+     * Holds, for each gang that found neither free nor releasing capacity, the machines that should be free soonest, so
+     * that no other work is placed on them. Reservations count only on tasks that are stopping; a hold counts on tasks
+     * that should end by themselves. Without it a gang that needs whole machines starves behind a stream of small tasks.
      */
     void holdMachines(List<Job> pending) {
-        for (Job j : pending) {
-            if (!j.spec.isGang()
-                    || !j.placements.isEmpty()
-                    || j.failureHistory.isSuspected()
-                    || view.cluster.reservations.containsKey(j.spec.id())) {
+        for (Job job : pending) {
+            if (!job.spec.isGang()
+                    || !job.placements.isEmpty()
+                    || job.failureHistory.isSuspected()
+                    || round.cluster.reservations.containsKey(job.spec.id())) {
                 continue;
             }
-            int missing = j.spec.tasks();
+            int missingMachines = job.spec.tasks();
             String zone = null;
-            for (MachineView n : view.machineViews.values()) {
-                if (j.spec.id().equals(n.machine.heldForGang)) {
-                    missing--;
-                    zone = n.machine.zone;
+            for (MachineView machineView : round.machineViews.values()) {
+                if (job.spec.id().equals(machineView.machine.heldForGang)) {
+                    missingMachines--;
+                    zone = machineView.machine.zone;
                 }
             }
-            while (missing-- > 0) {
+            while (missingMachines-- > 0) {
                 MachineView best = null;
-                double soonest = Constants.MAX_GANG_HOLD_WAIT_S;
-                for (MachineView n : view.machineViews.values()) {
-                    Machine m = n.machine;
-                    if (m.heldForGang != null || j.spec.oneZone() && zone != null && !zone.equals(m.zone)) {
+                double shortestWaitS = Constants.MAX_GANG_HOLD_WAIT_S;
+                for (MachineView machineView : round.machineViews.values()) {
+                    Machine machine = machineView.machine;
+                    if (machine.heldForGang != null
+                            || job.spec.oneZone() && zone != null && !zone.equals(machine.zone)) {
                         continue;
                     }
-                    if (!j.spec.allows(m.type.name(), m.zone, m.spot)
-                            || !j.spec.request().fitsIn(m.type.capacity())) {
+                    if (!job.spec.allows(machine.type.name(), machine.zone, machine.spot)
+                            || !job.spec.request().fitsIn(machine.type.capacity())) {
                         continue;
                     }
-                    double t = freeInS(n, j.spec.request());
-                    if (t < soonest) {
-                        soonest = t;
-                        best = n;
+                    double waitS = expectedWaitS(machineView, job.spec.request());
+                    if (waitS < shortestWaitS) {
+                        shortestWaitS = waitS;
+                        best = machineView;
                     }
                 }
                 if (best == null) {
                     break;
                 }
-                best.machine.heldForGang = j.spec.id();
+                best.machine.heldForGang = job.spec.id();
                 zone = best.machine.zone;
             }
         }
     }
 
-    /** Seconds until a machine should have this much room, if it gets nothing new. */
-    private double freeInS(MachineView n, Resources need) {
-        List<Placement> l = new ArrayList<>(n.machine.placements.values());
-        Map<Placement, Double> left = new HashMap<>();
-        for (Placement p : l) {
-            double ran = Double.isNaN(p.runningSinceS) ? 0 : view.nowS - p.runningSinceS;
-            left.put(p, Math.max(1, view.cluster.expectedRunS(p.job) - ran));
+    /**
+     * Returns the seconds until a machine should have capacity for the request if no new work is placed on it, or
+     * {@code Double.MAX_VALUE} if the end of all its tasks would not suffice; infinite if a replica would have to end.
+     */
+    private double expectedWaitS(MachineView machineView, Resources request) {
+        List<Placement> placements = new ArrayList<>(machineView.machine.placements.values());
+        Map<Placement, Double> remainingS = new HashMap<>();
+        for (Placement placement : placements) {
+            double ranS = Double.isNaN(placement.runningSinceS) ? 0 : round.nowS - placement.runningSinceS;
+            remainingS.put(placement, Math.max(1, round.cluster.expectedRunS(placement.job) - ranS));
         }
-        l.sort(Comparator.comparingDouble(left::get));
-        Resources room = n.free.minus(n.reserved);
-        double t = 0;
-        for (Placement p : l) {
-            if (need.fitsIn(room)) {
+        placements.sort(Comparator.comparingDouble(remainingS::get));
+        Resources available = machineView.free.minus(machineView.reserved);
+        double waitS = 0;
+        for (Placement placement : placements) {
+            if (request.fitsIn(available)) {
                 break;
             }
-            room = room.plus(p.job.spec.request());
-            t = left.get(p);
+            available = available.plus(placement.job.spec.request());
+            waitS = remainingS.get(placement);
         }
-        return need.fitsIn(room) ? t : Double.MAX_VALUE;
+        return request.fitsIn(available) ? waitS : Double.MAX_VALUE;
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/GangPlacer.java
+++ b/src/main/java/org/mountlug/core/allocate/GangPlacer.java
@@ -11,175 +11,208 @@
 import org.mountlug.core.model.Team;
 
 /**
- * Gangs by the design: all tasks find idle room and start, or all find room that is idle or being released and reserve it, or
- * nothing is kept.
+ * Places gangs. If all tasks fit on free capacity, the gang starts. If all fit on free or releasing capacity, that capacity
+ * is reserved. Otherwise the gang gets nothing.
  */
 final class GangPlacer {
-    /** Seconds of a later start for which a gang's task stays with the machine that it was nominated for. */
-    private static final double NOMINATED_S = 0.5;
+    /** Seconds subtracted from the placement cost of the machine on which a task has a reservation. */
+    private static final double NOMINATED_MACHINE_BONUS_S = 0.5;
 
-    private final RoundState view;
+    private final RoundState round;
 
-    GangPlacer(RoundState view) {
-        this.view = view;
+    GangPlacer(RoundState round) {
+        this.round = round;
     }
 
-    /** Tries one gang, each task on the machine that it was nominated for first. */
+    /** Places or reserves one gang, each task preferably on the machine of its last reservation. */
     void place(Job job) {
-        List<Reservation> before = view.cluster.reservations.getOrDefault(job.spec.id(), List.of());
-        if (!before.isEmpty()) {
-            view.unplaceableRequests.clear();
+        List<Reservation> previousReservations = round.cluster.reservations.getOrDefault(job.spec.id(), List.of());
+        if (!previousReservations.isEmpty()) {
+            round.unplaceableRequests.clear();
         }
-        PlacementTransaction statement = mayStart(job) ? statement(job, nominated(before)) : null;
-        if (statement == null) {
-            view.releaseReservations(job);
+        PlacementTransaction transaction =
+                mayStart(job) ? findTransaction(job, nominatedMachines(previousReservations)) : null;
+        if (transaction == null) {
+            round.releaseReservations(job);
             return;
         }
-        view.cluster.reservations.remove(job.spec.id());
-        if (statement.isReady(job.spec.tasks())) {
-            view.commit(statement);
-            view.usageByTeam.merge(job.spec.team(), job.spec.totalRequest(), Resources::plus);
+        round.cluster.reservations.remove(job.spec.id());
+        if (transaction.isReady(job.spec.tasks())) {
+            round.commit(transaction);
+            round.usageByTeam.merge(job.spec.team(), job.spec.totalRequest(), Resources::plus);
         } else {
-            view.cluster.reservations.put(job.spec.id(), statement.toReservations());
+            round.cluster.reservations.put(job.spec.id(), transaction.toReservations());
         }
     }
 
-    /** Whether all of the gang may be placed as far as itself, its record and its team's limit are concerned. */
+    /** Whether every task may be placed now and the whole gang fits its job record and its team's limit. */
     private boolean mayStart(Job job) {
         for (int task = 0; task < job.spec.tasks(); task++) {
-            if (!job.needsPlacement(task, view.nowS)) {
-                return false; // one task still waits out its failure
+            if (!job.needsPlacement(task, round.nowS)) {
+                return false; // for example, a failed task must not be retried yet
             }
         }
-        if (job.spec.tasks() > view.cluster.remainingRecordTasks(job)) {
-            return false; // what no record can hold must not start, and must not keep other records from being written
+        if (job.spec.tasks() > round.cluster.remainingRecordTasks(job)) {
+            // The job's record would exceed the value limit: it could not be written and would delay other records.
+            return false;
         }
-        Team team = view.cluster.team(job.spec.team());
-        Resources used = view.usageByTeam.getOrDefault(job.spec.team(), Resources.ZERO);
+        Team team = round.cluster.team(job.spec.team());
+        Resources used = round.usageByTeam.getOrDefault(job.spec.team(), Resources.ZERO);
         return team == null || team.isWithinLimit(used.plus(job.spec.totalRequest()));
     }
 
-    private static Map<Integer, String> nominated(List<Reservation> reservations) {
-        Map<Integer, String> machines = new HashMap<>();
+    /** Returns the nominated machine of each task: the one on which the task has a reservation. */
+    private static Map<Integer, String> nominatedMachines(List<Reservation> reservations) {
+        Map<Integer, String> machineByTask = new HashMap<>();
         for (Reservation reservation : reservations) {
-            machines.put(reservation.task(), reservation.machine());
+            machineByTask.put(reservation.task(), reservation.machine());
         }
-        return machines;
+        return machineByTask;
     }
 
-    /** The first statement that keeps the gang whole, or null; one zone for all means that every zone is tried on its own. */
-    private PlacementTransaction statement(Job job, Map<Integer, String> nominated) {
-        for (String zone : zones(job, nominated.values())) {
-            PlacementTransaction statement = new PlacementTransaction(job);
+    /**
+     * Returns a transaction that allocates or reserves capacity for every task, or null if there is none. A gang that must
+     * run in one zone tries one zone after the other.
+     */
+    private PlacementTransaction findTransaction(Job job, Map<Integer, String> nominatedMachines) {
+        for (String zone : zonesToTry(job, nominatedMachines.values())) {
+            PlacementTransaction transaction = new PlacementTransaction(job);
             List<Reservation> dropped = new ArrayList<>();
-            fill(statement, zone, nominated, dropped);
-            boolean pipelined = !job.failureHistory.isSuspected() && statement.isReservable(job.spec.tasks());
-            if (statement.isReady(job.spec.tasks()) || pipelined) {
-                return statement;
+            assignTasks(transaction, zone, nominatedMachines, dropped);
+            boolean reservable = !job.failureHistory.isSuspected() && transaction.isReservable(job.spec.tasks());
+            if (transaction.isReady(job.spec.tasks()) || reservable) {
+                return transaction;
             }
-            statement.discard();
-            restore(job, dropped);
+            transaction.discard();
+            restoreReservations(job, dropped);
         }
         return null;
     }
 
-    /** Tries each task in turn, until one finds no room; notes the reservations that were dropped for that. */
-    private void fill(
-            PlacementTransaction statement, String zone, Map<Integer, String> nominated, List<Reservation> dropped) {
-        Job job = statement.job;
-        Map<String, Integer> perZone = new HashMap<>();
+    /**
+     * Allocates or reserves capacity for each task in turn, until a task finds none.
+     *
+     * @param dropped receives the previous reservations that were released on the way
+     */
+    private void assignTasks(
+            PlacementTransaction transaction,
+            String zone,
+            Map<Integer, String> nominatedMachines,
+            List<Reservation> dropped) {
+        Job job = transaction.job;
+        Map<String, Integer> tasksByZone = new HashMap<>();
         for (int task = 0; task < job.spec.tasks(); task++) {
-            MachineView node = node(job, zone, perZone, nominated.get(task), task, dropped);
-            if (node == null) {
+            MachineView machineView = selectMachine(job, zone, tasksByZone, nominatedMachines.get(task), task, dropped);
+            if (machineView == null) {
                 return;
             }
-            perZone.merge(node.machine.zone, 1, Integer::sum);
-            if (node.fitsNow(job.spec.request())) {
-                statement.allocate(task, node);
+            tasksByZone.merge(machineView.machine.zone, 1, Integer::sum);
+            if (machineView.fitsNow(job.spec.request())) {
+                transaction.allocate(task, machineView);
             } else {
-                statement.reserve(task, node);
+                transaction.reserve(task, machineView);
             }
         }
     }
 
-    /** The machine for one task: the nominated one if it still covers the task, else by a full scan; null if none does. */
-    private MachineView node(
-            Job job, String zone, Map<String, Integer> perZone, String nominated, int task, List<Reservation> dropped) {
+    /**
+     * Returns the machine for one task, or null if none fits: the nominated machine if it passes the check, otherwise the
+     * best of all machines. Releases the task's previous reservation.
+     *
+     * @param nominated the machine of the task's previous reservation, or null
+     */
+    private MachineView selectMachine(
+            Job job,
+            String zone,
+            Map<String, Integer> tasksByZone,
+            String nominated,
+            int task,
+            List<Reservation> dropped) {
         if (nominated == null) {
-            return scan(job, zone, perZone, null);
+            return findCheapestMachine(job, zone, tasksByZone, null);
         }
-        Resources need = job.spec.request();
-        MachineView before = view.machineViews.get(nominated);
-        // The note's check counts the task's own reservation, which moves from reserved to tried, or is dropped.
-        boolean covered = before != null && allowed(job, before, zone, perZone) && need.fitsIn(before.futureFree());
+        Resources request = job.spec.request();
+        MachineView nominatedView = round.machineViews.get(nominated);
+        // The task's own reservation still counts here, so the machine must have room for the request beside it.
+        boolean fitsNominated = nominatedView != null
+                && isAllowed(job, nominatedView, zone, tasksByZone)
+                && request.fitsIn(nominatedView.futureFree());
         dropped.add(new Reservation(task, nominated));
-        if (before != null) {
-            before.reserved = before.reserved.minus(need);
+        if (nominatedView != null) {
+            nominatedView.reserved = nominatedView.reserved.minus(request);
         }
-        return covered ? before : scan(job, zone, perZone, nominated);
+        return fitsNominated ? nominatedView : findCheapestMachine(job, zone, tasksByZone, nominated);
     }
 
-    /** Reservations dropped for a try that failed are put back for the next zone's try. */
-    private void restore(Job job, List<Reservation> dropped) {
+    /** Restores the reservations that were released for a zone in which the gang did not fit, before the next zone. */
+    private void restoreReservations(Job job, List<Reservation> dropped) {
         for (Reservation reservation : dropped) {
-            MachineView node = view.machineViews.get(reservation.machine());
-            if (node != null) {
-                node.reserved = node.reserved.plus(job.spec.request());
+            MachineView machineView = round.machineViews.get(reservation.machine());
+            if (machineView != null) {
+                machineView.reserved = machineView.reserved.plus(job.spec.request());
             }
         }
     }
 
-    private List<String> zones(Job job, Iterable<String> nominated) {
+    /** Returns the zones to try, those of nominated machines first; a single null stands for all zones together. */
+    private List<String> zonesToTry(Job job, Iterable<String> nominatedMachines) {
         List<String> zones = new ArrayList<>();
         if (!job.spec.oneZone()) {
             zones.add(null);
             return zones;
         }
-        for (String machine : nominated) {
-            MachineView node = view.machineViews.get(machine);
-            if (node != null && !zones.contains(node.machine.zone)) {
-                zones.add(node.machine.zone);
+        for (String machine : nominatedMachines) {
+            MachineView machineView = round.machineViews.get(machine);
+            if (machineView != null && !zones.contains(machineView.machine.zone)) {
+                zones.add(machineView.machine.zone);
             }
         }
-        for (MachineView node : view.machineViews.values()) {
-            if (!zones.contains(node.machine.zone)) {
-                zones.add(node.machine.zone);
+        for (MachineView machineView : round.machineViews.values()) {
+            if (!zones.contains(machineView.machine.zone)) {
+                zones.add(machineView.machine.zone);
             }
         }
         return zones;
     }
 
-    private boolean allowed(Job job, MachineView node, String zone, Map<String, Integer> perZone) {
-        Machine machine = node.machine;
+    /** Whether the job's rules and holds for other gangs allow a task on the machine; null as zone allows every zone. */
+    private boolean isAllowed(Job job, MachineView machineView, String zone, Map<String, Integer> tasksByZone) {
+        Machine machine = machineView.machine;
         return (machine.heldForGang == null || machine.heldForGang.equals(job.spec.id()))
                 && job.spec.allows(machine.type.name(), machine.zone, machine.spot)
                 && (zone == null || zone.equals(machine.zone))
                 && (!job.spec.spreadAcrossZones()
-                        || perZone.getOrDefault(machine.zone, 0) < job.spec.maxTasksPerZone());
+                        || tasksByZone.getOrDefault(machine.zone, 0) < job.spec.maxTasksPerZone());
     }
 
-    /** A full scan: idle room first, else future room; the machine nominated before wins a tie. */
-    private MachineView scan(Job job, String zone, Map<String, Integer> perZone, String before) {
-        MachineView now = null;
-        MachineView later = null;
-        double nowCost = Double.MAX_VALUE;
-        double laterCost = Double.MAX_VALUE;
-        Resources need = job.spec.request();
-        for (MachineView node : view.machineViews.values()) {
-            if (!allowed(job, node, zone, perZone)) {
+    /**
+     * Returns the allowed machine with the lowest placement cost among those where a task fits now, else among those
+     * where it fits on future free capacity, else null.
+     *
+     * @param nominated the machine whose cost is lowered by the bonus, or null
+     */
+    private MachineView findCheapestMachine(Job job, String zone, Map<String, Integer> tasksByZone, String nominated) {
+        MachineView bestNow = null;
+        MachineView bestLater = null;
+        double bestNowCostS = Double.MAX_VALUE;
+        double bestLaterCostS = Double.MAX_VALUE;
+        Resources request = job.spec.request();
+        for (MachineView machineView : round.machineViews.values()) {
+            if (!isAllowed(job, machineView, zone, tasksByZone)) {
                 continue;
             }
-            double cost = view.placementCost(job, node) - (node.machine.name.equals(before) ? NOMINATED_S : 0);
-            if (node.fitsNow(need)) {
-                if (cost < nowCost) {
-                    nowCost = cost;
-                    now = node;
+            double costS = round.placementCostS(job, machineView)
+                    - (machineView.machine.name.equals(nominated) ? NOMINATED_MACHINE_BONUS_S : 0);
+            if (machineView.fitsNow(request)) {
+                if (costS < bestNowCostS) {
+                    bestNowCostS = costS;
+                    bestNow = machineView;
                 }
-            } else if (need.fitsIn(node.futureFree()) && cost < laterCost) {
-                laterCost = cost;
-                later = node;
+            } else if (request.fitsIn(machineView.futureFree()) && costS < bestLaterCostS) {
+                bestLaterCostS = costS;
+                bestLater = machineView;
             }
         }
-        return now != null ? now : later;
+        return bestNow != null ? bestNow : bestLater;
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/MachineView.java
+++ b/src/main/java/org/mountlug/core/allocate/MachineView.java
@@ -5,130 +5,150 @@
 import org.mountlug.core.model.Resources;
 import org.mountlug.core.zone.StartBudget;
 
-/** A machine as one round sees it: statements change this view, and only a commit reaches the cluster. */
+/** One round's view of a machine's capacity. Placement transactions change only the view until they are committed. */
 public final class MachineView {
     public final Machine machine;
     public Resources free;
     public Resources releasing;
     public Resources reserved = Resources.ZERO;
-    /** What this round has given to work without accelerators. */
-    public Resources givenToCpuWork = Resources.ZERO;
+    /** Capacity that this round has allocated to CPU-only tasks. */
+    public Resources allocatedToCpuWork = Resources.ZERO;
 
-    /** What a whole machine's worth of accelerator work needs beside the accelerators, of the neediest class seen. */
-    private final Resources acceleratorShare;
+    /**
+     * CPU and memory that accelerator work needs when it fills the machine, by the most demanding job class whose
+     * priority lets it preempt other accelerator work.
+     */
+    private final Resources preemptingHostDemand;
 
-    /** The same of any class: what a service leaves, as it stays for as long as its user orders. */
-    private final Resources acceleratorShareOfAll;
+    /**
+     * CPU and memory that accelerator work of any priority needs when it fills the machine. Replicas leave this free,
+     * because they run until their user cancels the service.
+     */
+    private final Resources hostDemand;
 
-    /** Starts that its zone may still get in this round, null without a limit. */
-    private StartBudget budget;
+    /** Starts that this round may still place in the machine's zone, or null without a limit. */
+    private StartBudget startBudget;
 
-    /** A view of a machine on which nothing is kept for accelerator work. */
-    public MachineView(Machine m) {
-        this(m, Resources.ZERO, Resources.ZERO);
+    /** Creates a view of a machine on which no capacity is kept for accelerator work. */
+    public MachineView(Machine machine) {
+        this(machine, Resources.ZERO, Resources.ZERO);
     }
 
-    /** A view of a machine that keeps these parts of it for accelerator work, of higher priority and of any. */
-    public MachineView(Machine m, Resources acceleratorShare, Resources acceleratorShareOfAll) {
-        this.acceleratorShare = acceleratorShare;
-        this.acceleratorShareOfAll = acceleratorShareOfAll;
-        machine = m;
-        Resources size = m.type == null ? Resources.ZERO : m.type.capacity();
-        // A stray's size may be unknown; nothing is placed beside one until it is gone.
-        free = m.orphans.isEmpty() ? size.minus(m.allocated()) : Resources.ZERO;
-        releasing = m.releasingCapacity();
+    /**
+     * Creates a view of a machine that keeps capacity for accelerator work.
+     *
+     * @param preemptingHostDemand CPU and memory kept from CPU-only tasks for preempting accelerator work
+     * @param hostDemand CPU and memory kept from replicas for accelerator work of any priority
+     */
+    public MachineView(Machine machine, Resources preemptingHostDemand, Resources hostDemand) {
+        this.preemptingHostDemand = preemptingHostDemand;
+        this.hostDemand = hostDemand;
+        this.machine = machine;
+        Resources capacity = machine.type == null ? Resources.ZERO : machine.type.capacity();
+        // The request of an orphan may be unknown, so a machine with orphans counts as full.
+        free = machine.orphans.isEmpty() ? capacity.minus(machine.allocated()) : Resources.ZERO;
+        releasing = machine.releasingCapacity();
     }
 
-    /** Limits the starts on this machine and all others with the same budget. */
+    /** Limits the starts on this machine together with those on all machines that share the budget; null for no limit. */
     void setStartBudget(StartBudget zoneBudget) {
-        budget = zoneBudget;
+        startBudget = zoneBudget;
     }
 
-    /** Whether its zone gets only a part of the starts that there is room for. */
+    /** Whether the number of starts in the machine's zone is limited in this round. */
     boolean hasStartBudget() {
-        return budget != null;
+        return startBudget != null;
     }
 
-    /** Takes a start from the zone's budget. */
-    void takeStart() {
-        if (budget != null) {
-            budget.take();
+    /** Takes one start from the zone's budget, if there is one. */
+    void consumeStart() {
+        if (startBudget != null) {
+            startBudget.take();
         }
     }
 
-    /** Gives a start back to the zone's budget. */
-    void giveStartBack() {
-        if (budget != null) {
-            budget.giveBack();
+    /** Gives one start back to the zone's budget, if there is one. */
+    void returnStart() {
+        if (startBudget != null) {
+            startBudget.giveBack();
         }
     }
 
-    private int withinBudget(int count) {
-        return budget == null ? count : Math.min(count, budget.left());
+    private int limitByStartBudget(int count) {
+        return startBudget == null ? count : Math.min(count, startBudget.left());
     }
 
-    /** The design's future room. */
+    /** Returns the capacity that is free or releasing, less what is reserved. */
     public Resources futureFree() {
         return free.plus(releasing).minus(reserved);
     }
 
-    /** Whether a task fits now without taking what a reservation counts on. */
+    /** Whether a task fits on free capacity without using what reservations count on. */
     public boolean fitsNow(Resources request) {
-        return withinBudget(1) > 0 && request.fitsIn(free) && request.fitsIn(futureFree());
+        return limitByStartBudget(1) > 0 && request.fitsIn(free) && request.fitsIn(futureFree());
     }
 
     /**
-     * How many tasks fit now. Work without accelerators gets only the part of an accelerator machine that its free
-     * accelerators do not need in proportion, or the accelerator machines fill up with what runs anywhere.
+     * Returns how many tasks fit now. On an accelerator machine, CPU and memory in proportion to the free accelerators are
+     * kept from CPU-only tasks; otherwise accelerator machines would fill up with work that can run on any machine.
      */
     public int countFittingNow(Resources request) {
         return countFittingNow(request, false);
     }
 
-    /** The same; overflowing work may have the whole machine. */
+    /** Returns how many tasks fit now; an overflowing CPU-only job may use the whole of an accelerator machine. */
     public int countFittingNow(Resources request, boolean overflowing) {
-        Resources f = futureFree();
-        Resources room = new Resources(
-                Math.min(free.cpus(), f.cpus()), Math.min(free.gpus(), f.gpus()), Math.min(free.ramGb(), f.ramGb()));
-        Resources size = machine.type == null ? Resources.ZERO : machine.type.capacity();
-        if (!overflowing && request.gpus() == 0 && size.gpus() > 0) {
-            double part = Math.max(0, room.gpus()) / size.gpus();
-            room = room.minus(new Resources(size.cpus() * part, 0, size.ramGb() * part));
-            // What runs beside accelerator work must not be in the way of a gang that could take its place.
-            Resources beside = size.minus(acceleratorShare);
-            for (Placement p : machine.placements.values()) {
-                if (p.job.spec.request().gpus() == 0 && !p.standby) {
-                    beside = beside.minus(p.job.spec.request());
+        Resources futureFree = futureFree();
+        Resources available = new Resources(
+                Math.min(free.cpus(), futureFree.cpus()),
+                Math.min(free.gpus(), futureFree.gpus()),
+                Math.min(free.ramGb(), futureFree.ramGb()));
+        Resources capacity = machine.type == null ? Resources.ZERO : machine.type.capacity();
+        if (!overflowing && request.gpus() == 0 && capacity.gpus() > 0) {
+            double freeAcceleratorShare = Math.max(0, available.gpus()) / capacity.gpus();
+            available = available.minus(
+                    new Resources(capacity.cpus() * freeAcceleratorShare, 0, capacity.ramGb() * freeAcceleratorShare));
+            // CPU-only tasks must leave room for an accelerator gang that may preempt the accelerator work beside them.
+            Resources leftForCpuWork = capacity.minus(preemptingHostDemand);
+            for (Placement placement : machine.placements.values()) {
+                if (placement.job.spec.request().gpus() == 0 && !placement.standby) {
+                    leftForCpuWork = leftForCpuWork.minus(placement.job.spec.request());
                 }
             }
-            beside = beside.minus(new Resources(givenToCpuWork.cpus(), 0, givenToCpuWork.ramGb()));
-            room = new Resources(
-                    Math.min(room.cpus(), beside.cpus()), room.gpus(), Math.min(room.ramGb(), beside.ramGb()));
+            leftForCpuWork =
+                    leftForCpuWork.minus(new Resources(allocatedToCpuWork.cpus(), 0, allocatedToCpuWork.ramGb()));
+            available = new Resources(
+                    Math.min(available.cpus(), leftForCpuWork.cpus()),
+                    available.gpus(),
+                    Math.min(available.ramGb(), leftForCpuWork.ramGb()));
         }
-        return withinBudget(request.countIn(room));
+        return limitByStartBudget(request.countIn(available));
     }
 
-    /** How many replicas fit now: on an accelerator machine only beside all the accelerator work that it could hold. */
+    /**
+     * Returns how many replicas fit now. CPU-only replicas get only the part of an accelerator machine that no accelerator
+     * work would need.
+     */
     public int countReplicasFittingNow(Resources request) {
-        if (request.gpus() > 0 || machine.type.capacity().gpus() == 0 || acceleratorShareOfAll.isZero()) {
+        if (request.gpus() > 0 || machine.type.capacity().gpus() == 0 || hostDemand.isZero()) {
             return countFittingNow(request);
         }
-        Resources f = futureFree();
-        Resources beside = machine.type.capacity().minus(acceleratorShareOfAll).minus(givenToCpuWork);
-        for (Placement p : machine.placements.values()) {
-            if (p.job.spec.request().gpus() == 0 && !p.standby) {
-                beside = beside.minus(p.job.spec.request());
+        Resources futureFree = futureFree();
+        Resources leftForCpuWork = machine.type.capacity().minus(hostDemand).minus(allocatedToCpuWork);
+        for (Placement placement : machine.placements.values()) {
+            if (placement.job.spec.request().gpus() == 0 && !placement.standby) {
+                leftForCpuWork = leftForCpuWork.minus(placement.job.spec.request());
             }
         }
-        return withinBudget(request.countIn(new Resources(
-                Math.min(Math.min(free.cpus(), f.cpus()), beside.cpus()),
+        return limitByStartBudget(request.countIn(new Resources(
+                Math.min(Math.min(free.cpus(), futureFree.cpus()), leftForCpuWork.cpus()),
                 0,
-                Math.min(Math.min(free.ramGb(), f.ramGb()), beside.ramGb()))));
+                Math.min(Math.min(free.ramGb(), futureFree.ramGb()), leftForCpuWork.ramGb()))));
     }
 
-    /** The share of the machine that is taken, by its scarcest resource. */
+    /** Returns the share of the machine that is not free, by the resource of which the largest share is used. */
     public double utilization() {
-        Resources size = machine.type.capacity();
-        return size.minus(free).dominantShareOf(size);
+        Resources capacity = machine.type.capacity();
+        return capacity.minus(free).dominantShareOf(capacity);
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/PlacementTransaction.java
+++ b/src/main/java/org/mountlug/core/allocate/PlacementTransaction.java
@@ -6,89 +6,91 @@
 import org.mountlug.core.model.Reservation;
 
 /**
- * The tentative placements of one job in one round. They take room in the round's view at once; a commit keeps them,
- * a discard gives everything back.
+ * The tentative placements of one job in one round. They take capacity in the round's machine views at once;
+ * {@code RoundState.commit} turns them into placements, {@link #discard} releases their capacity.
  */
 public final class PlacementTransaction {
-    /** One task tried: {@code pipelined} if it only has future room. */
+    /** The machine tentatively chosen for a task; {@code reserved} if its capacity is reserved and not allocated. */
     public record Assignment(int task, MachineView machineView, boolean reserved) {}
 
     public final Job job;
     private final List<Assignment> assignments = new ArrayList<>();
 
-    /** Begins to try one job. */
+    /** Creates an empty transaction for one job. */
     public PlacementTransaction(Job job) {
         this.job = job;
     }
 
-    /** Gives idle room to a task. */
-    public void allocate(int task, MachineView n) {
-        n.takeStart();
-        n.free = n.free.minus(job.spec.request());
+    /** Allocates free capacity of a machine to a task. */
+    public void allocate(int task, MachineView machineView) {
+        machineView.consumeStart();
+        machineView.free = machineView.free.minus(job.spec.request());
         if (job.spec.request().gpus() == 0) {
-            n.givenToCpuWork = n.givenToCpuWork.plus(job.spec.request());
+            machineView.allocatedToCpuWork = machineView.allocatedToCpuWork.plus(job.spec.request());
         }
-        assignments.add(new Assignment(task, n, false));
+        assignments.add(new Assignment(task, machineView, false));
     }
 
-    /** Reserves room that is being released for a task. */
-    public void reserve(int task, MachineView n) {
-        n.reserved = n.reserved.plus(job.spec.request());
-        assignments.add(new Assignment(task, n, true));
+    /** Reserves future free capacity of a machine for a task. */
+    public void reserve(int task, MachineView machineView) {
+        machineView.reserved = machineView.reserved.plus(job.spec.request());
+        assignments.add(new Assignment(task, machineView, true));
     }
 
-    /** What has been tried so far, in order. */
+    /** Returns the assignments in the order in which they were made. */
     public List<Assignment> assignments() {
         return assignments;
     }
 
-    /** How many tasks have been given idle room. */
+    /** Returns how many tasks have free capacity allocated. */
     public int allocatedCount() {
-        int k = 0;
-        for (Assignment o : assignments) {
-            if (!o.reserved()) {
-                k++;
+        int count = 0;
+        for (Assignment assignment : assignments) {
+            if (!assignment.reserved()) {
+                count++;
             }
         }
-        return k;
+        return count;
     }
 
-    /** Ready: every task the job needs at once has its room now. */
+    /** Whether at least {@code minTasks} tasks have free capacity allocated. */
     public boolean isReady(int minTasks) {
         return allocatedCount() >= minTasks;
     }
 
-    /** Pipelined: placed and pipelined tasks together reach the least. */
+    /** Whether at least {@code minTasks} tasks have capacity allocated or reserved. */
     public boolean isReservable(int minTasks) {
         return assignments.size() >= minTasks;
     }
 
     /**
-     * Keeps a pipelined job's whole statement as reservations. Idle room that some tasks found is reserved too, or
-     * the gang would start over when the last task's room comes free.
+     * Turns all assignments into reservations and returns them. Allocated free capacity is reserved as well; otherwise
+     * other jobs could take it before the capacity for the gang's last task is free, and the gang would start over.
      */
     public List<Reservation> toReservations() {
-        List<Reservation> l = new ArrayList<>();
-        for (Assignment o : assignments) {
-            if (!o.reserved()) {
-                o.machineView().giveStartBack();
-                o.machineView().free = o.machineView().free.plus(job.spec.request());
-                o.machineView().reserved = o.machineView().reserved.plus(job.spec.request());
+        List<Reservation> reservations = new ArrayList<>();
+        for (Assignment assignment : assignments) {
+            if (!assignment.reserved()) {
+                assignment.machineView().returnStart();
+                assignment.machineView().free = assignment.machineView().free.plus(job.spec.request());
+                assignment.machineView().reserved =
+                        assignment.machineView().reserved.plus(job.spec.request());
             }
-            l.add(new Reservation(o.task(), o.machineView().machine.name));
+            reservations.add(new Reservation(assignment.task(), assignment.machineView().machine.name));
         }
-        return l;
+        return reservations;
     }
 
-    /** Gives back all room that was taken. */
+    /** Releases all capacity that this transaction allocated or reserved. */
     public void discard() {
         for (int i = assignments.size() - 1; i >= 0; i--) {
-            Assignment o = assignments.get(i);
-            if (o.reserved()) {
-                o.machineView().reserved = o.machineView().reserved.minus(job.spec.request());
+            Assignment assignment = assignments.get(i);
+            if (assignment.reserved()) {
+                assignment.machineView().reserved =
+                        assignment.machineView().reserved.minus(job.spec.request());
             } else {
-                o.machineView().giveStartBack();
-                o.machineView().free = o.machineView().free.plus(job.spec.request());
+                assignment.machineView().returnStart();
+                assignment.machineView().free = assignment.machineView().free.plus(job.spec.request());
             }
         }
         assignments.clear();
--- a/src/main/java/org/mountlug/core/allocate/ReplicaPlacer.java
+++ b/src/main/java/org/mountlug/core/allocate/ReplicaPlacer.java
@@ -10,153 +10,165 @@
 import org.mountlug.core.model.Resources;
 import org.mountlug.core.model.Team;
 
-/** Replicas of services, each where it runs soonest and beside as few of its like as may be. */
+/** Places the replicas of services, each where it should run soonest, spread over machines. */
 final class ReplicaPlacer {
-    private final RoundState view;
+    private final RoundState round;
 
-    ReplicaPlacer(RoundState view) {
-        this.view = view;
+    ReplicaPlacer(RoundState round) {
+        this.round = round;
     }
 
     /**
-     * Each replica for itself, as its user misses it for itself: where it runs soonest, and beside as few others of the
-     * same service as may be, so that the loss of a machine is a small loss.
+     * Places as many replicas of a service as fit now, independently of each other, as each one is of use to its users by
+     * itself. Each goes to the machine with the lowest cost, which grows with the start delay and with the replicas of the
+     * same service on the machine, so that the loss of one machine takes few of them.
      */
-    void place(Job j) {
-        JobSpec spec = j.spec;
-        Team team = view.cluster.team(spec.team());
-        Resources used = view.usageByTeam.getOrDefault(spec.team(), Resources.ZERO);
-        int budget = view.cluster.remainingRecordTasks(j);
-        Map<String, Integer> perZone = new HashMap<>();
-        Map<String, Integer> perMachine = new HashMap<>();
-        String only = null;
-        for (Placement p : j.placements.values()) {
-            perZone.merge(p.zone, 1, Integer::sum);
-            perMachine.merge(p.machine, 1, Integer::sum);
+    void place(Job job) {
+        JobSpec spec = job.spec;
+        Team team = round.cluster.team(spec.team());
+        Resources usedByTeam = round.usageByTeam.getOrDefault(spec.team(), Resources.ZERO);
+        int remainingTasks = round.cluster.remainingRecordTasks(job);
+        Map<String, Integer> replicasByZone = new HashMap<>();
+        Map<String, Integer> replicasByMachine = new HashMap<>();
+        String requiredZone = null;
+        for (Placement placement : job.placements.values()) {
+            replicasByZone.merge(placement.zone, 1, Integer::sum);
+            replicasByMachine.merge(placement.machine, 1, Integer::sum);
             if (spec.oneZone()) {
-                only = p.zone;
+                requiredZone = placement.zone;
             }
         }
-        PlacementTransaction s = new PlacementTransaction(j);
-        MachineView warm =
-                j.placements.isEmpty() && spec.tasks() >= Constants.IMAGE_WARMUP_MIN_REPLICAS ? warming(j) : null;
-        for (int t = 0; t < spec.tasks() && budget > 0; t++) {
-            if (!j.needsPlacement(t, view.nowS)) {
+        PlacementTransaction transaction = new PlacementTransaction(job);
+        MachineView warmupMachine = job.placements.isEmpty() && spec.tasks() >= Constants.IMAGE_WARMUP_MIN_REPLICAS
+                ? selectWarmupMachine(job)
+                : null;
+        for (int replica = 0; replica < spec.tasks() && remainingTasks > 0; replica++) {
+            if (!job.needsPlacement(replica, round.nowS)) {
                 continue;
             }
-            if (team != null && !team.isWithinLimit(used.plus(spec.request()))) {
+            if (team != null && !team.isWithinLimit(usedByTeam.plus(spec.request()))) {
                 break;
             }
             MachineView best = null;
-            if (warm != null
-                    && t == spec.tasks() - 1
+            if (warmupMachine != null
+                    && replica == spec.tasks() - 1
                     && (!spec.spreadAcrossZones()
-                            || perZone.getOrDefault(warm.machine.zone, 0) < spec.maxTasksPerZone())) {
-                best = warm;
+                            || replicasByZone.getOrDefault(warmupMachine.machine.zone, 0) < spec.maxTasksPerZone())) {
+                best = warmupMachine;
             }
-            double least = Double.MAX_VALUE;
+            double lowestCostS = Double.MAX_VALUE;
             if (best == null) {
-                for (MachineView n : view.machineViews.values()) {
-                    Machine m = n.machine;
-                    if (m.heldForGang != null || !spec.allows(m.type.name(), m.zone, m.spot)) {
+                for (MachineView machineView : round.machineViews.values()) {
+                    Machine machine = machineView.machine;
+                    if (machine.heldForGang != null || !spec.allows(machine.type.name(), machine.zone, machine.spot)) {
                         continue;
                     }
-                    if (only != null && !only.equals(m.zone)) {
+                    if (requiredZone != null && !requiredZone.equals(machine.zone)) {
                         continue;
                     }
-                    if (spec.spreadAcrossZones() && perZone.getOrDefault(m.zone, 0) >= spec.maxTasksPerZone()) {
+                    if (spec.spreadAcrossZones()
+                            && replicasByZone.getOrDefault(machine.zone, 0) >= spec.maxTasksPerZone()) {
                         continue;
                     }
-                    // Room on a cheap machine, made by stopping what ends anyway, is worth a moment.
-                    if (view.replicaStartTimes.canWait(j)
-                            && (spec.request().gpus() == 0 && m.type.capacity().gpus() > 0
-                                    || view.replicaStartTimes.latenessS(j, m) > 0)) {
+                    // A new service skips accelerator machines and machines that make it late, as stopping tasks
+                    // that would end anyway may soon free capacity on a CPU machine.
+                    if (round.replicaStartTimes.mayWaitForBetterMachine(job)
+                            && (spec.request().gpus() == 0
+                                            && machine.type.capacity().gpus() > 0
+                                    || round.replicaStartTimes.latenessS(job, machine) > 0)) {
                         continue;
                     }
-                    if (n.countReplicasFittingNow(spec.request()) < 1) {
+                    if (machineView.countReplicasFittingNow(spec.request()) < 1) {
                         continue;
                     }
-                    double c =
-                            replicaCost(j, t, n) + Constants.REPLICA_SPREAD_COST_S * perMachine.getOrDefault(m.name, 0);
-                    if (c < least || c == least && m.name.compareTo(best.machine.name) < 0) {
-                        least = c;
-                        best = n;
+                    double costS = replicaCostS(job, replica, machineView)
+                            + Constants.REPLICA_SPREAD_COST_S * replicasByMachine.getOrDefault(machine.name, 0);
+                    if (costS < lowestCostS || costS == lowestCostS && machine.name.compareTo(best.machine.name) < 0) {
+                        lowestCostS = costS;
+                        best = machineView;
                     }
                 }
             }
             if (best == null) {
                 break;
             }
-            s.allocate(t, best);
-            used = used.plus(spec.request());
-            perZone.merge(best.machine.zone, 1, Integer::sum);
-            perMachine.merge(best.machine.name, 1, Integer::sum);
+            transaction.allocate(replica, best);
+            usedByTeam = usedByTeam.plus(spec.request());
+            replicasByZone.merge(best.machine.zone, 1, Integer::sum);
+            replicasByMachine.merge(best.machine.name, 1, Integer::sum);
             if (spec.oneZone()) {
-                only = best.machine.zone;
+                requiredZone = best.machine.zone;
             }
-            budget--;
+            remainingTasks--;
         }
-        if (s.isReady(1)) {
-            view.usageByTeam.put(spec.team(), used);
-            view.commit(s);
+        if (transaction.isReady(1)) {
+            round.usageByTeam.put(spec.team(), usedByTeam);
+            round.commit(transaction);
         }
     }
 
     /**
-     * Where every cheap machine would make an image's first replicas late, all of them would go to accelerator machines, and so
-     * would those of the next service, as no cheap machine ever got the image. So one replica of many goes to the
-     * cheapest place a replica that holds most of them, late as it is, until two such machines have the image.
+     * Returns the CPU machine that should fetch the service's image by running one replica late, or null if none should.
+     * Where fetching the image makes replicas late on every CPU machine, all of them would go to accelerator machines, and
+     * so would those of the next service, as no CPU machine would ever cache the image. The machine that holds the most
+     * replicas is chosen, until {@code IMAGE_WARMUP_MACHINES} machines that can hold the whole service have the image or
+     * are fetching it.
      */
-    private MachineView warming(Job j) {
-        JobSpec s = j.spec;
-        if (s.oneZone() || s.request().gpus() > 0) {
+    private MachineView selectWarmupMachine(Job job) {
+        JobSpec spec = job.spec;
+        if (spec.oneZone() || spec.request().gpus() > 0) {
             return null;
         }
         MachineView best = null;
-        int most = 0;
-        int warm = 0;
-        for (MachineView n : view.machineViews.values()) {
-            Machine m = n.machine;
-            if (m.type.capacity().gpus() > 0 || m.heldForGang != null || !s.allows(m.type.name(), m.zone, m.spot)) {
+        int bestReplicaCapacity = 0;
+        int warmMachines = 0;
+        for (MachineView machineView : round.machineViews.values()) {
+            Machine machine = machineView.machine;
+            if (machine.type.capacity().gpus() > 0
+                    || machine.heldForGang != null
+                    || !spec.allows(machine.type.name(), machine.zone, machine.spot)) {
                 continue;
             }
-            int holds = s.request().countIn(m.type.capacity());
-            if (view.replicaStartTimes.latenessS(j, m) <= 0 && !m.cachedImages.contains(s.image())) {
-                return null; // cold ones are no trouble
+            int replicaCapacity = spec.request().countIn(machine.type.capacity());
+            if (round.replicaStartTimes.latenessS(job, machine) <= 0 && !machine.cachedImages.contains(spec.image())) {
+                return null; // a machine without the image is not late either
             }
-            if (view.replicaStartTimes.imageFetchS(j, m) < s.imageGb() / Math.max(0.01, m.type.fetchGbPerS())) {
-                if (holds >= s.tasks()) {
-                    warm++;
+            if (round.replicaStartTimes.imageFetchS(job, machine)
+                    < spec.imageGb() / Math.max(0.01, machine.type.fetchGbPerS())) {
+                if (replicaCapacity >= spec.tasks()) {
+                    warmMachines++;
                 }
-            } else if (holds > most && n.countReplicasFittingNow(s.request()) > 0) {
-                most = holds;
-                best = n;
+            } else if (replicaCapacity > bestReplicaCapacity
+                    && machineView.countReplicasFittingNow(spec.request()) > 0) {
+                bestReplicaCapacity = replicaCapacity;
+                best = machineView;
             }
         }
-        return warm < Constants.IMAGE_WARMUP_MACHINES ? best : null;
+        return warmMachines < Constants.IMAGE_WARMUP_MACHINES ? best : null;
     }
 
     /**
-     * Lower is better. Seconds count little up to when the replica should run, and much from then on; what it costs to
-     * keep an expensive machine for it lies between, as a replica stays for as long as its user orders.
+     * Returns the cost of placing a replica on a machine in weighted seconds; lower is better. Seconds up to the time at
+     * which the replica should run weigh little, later ones weigh much. The cost of keeping an expensive machine weighs
+     * between the two, as a replica runs until its user cancels the service.
      */
-    private double replicaCost(Job j, int task, MachineView n) {
-        Machine m = n.machine;
-        double c = view.replicaStartTimes.imageFetchS(j, m) * Constants.FETCH_TIME_WEIGHT
-                + view.replicaStartTimes.latenessS(j, m) * Constants.LATENESS_WEIGHT;
-        boolean first = true;
-        for (Placement p : m.placements.values()) {
-            first &= !p.job.spec.isService();
+    private double replicaCostS(Job job, int replica, MachineView machineView) {
+        Machine machine = machineView.machine;
+        double costS = round.replicaStartTimes.imageFetchS(job, machine) * Constants.FETCH_TIME_WEIGHT
+                + round.replicaStartTimes.latenessS(job, machine) * Constants.LATENESS_WEIGHT;
+        boolean withoutReplicas = true;
+        for (Placement placement : machine.placements.values()) {
+            withoutReplicas &= !placement.job.spec.isService();
         }
-        // The first replica keeps the view.whole machine from being returned; those that join it cost nothing more.
-        if (first) {
-            c += Math.min(
+        // The first replica on a machine keeps the whole machine from being returned; further ones add no such cost.
+        if (withoutReplicas) {
+            costS += Math.min(
                     Constants.MAX_KEPT_MACHINE_COST_S,
-                    m.type.pricePerHour(m.spot) / view.lowestPricePerHour * Constants.KEPT_MACHINE_COST_S);
+                    machine.type.pricePerHour(machine.spot) / round.lowestPricePerHour * Constants.KEPT_MACHINE_COST_S);
         }
-        if (m.name.equals(j.avoidedMachineByTask.get(task))) {
-            c += Constants.REPLICA_EXIT_PENALTY_S;
+        if (machine.name.equals(job.avoidedMachineByTask.get(replica))) {
+            costS += Constants.REPLICA_EXIT_PENALTY_S;
         }
-        return c + 2 * (1 - n.utilization()) + 5 * m.failureCount();
+        return costS + 2 * (1 - machineView.utilization()) + 5 * machine.failureCount();
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/ReplicaStartTimes.java
+++ b/src/main/java/org/mountlug/core/allocate/ReplicaStartTimes.java
@@ -7,35 +7,41 @@
 import org.mountlug.core.model.Placement;
 
 /**
- * When a replica would run if it were started on a machine now: fetching its image takes most of it.
+ * Estimates when a replica would run if it were placed on a machine now; most of the time goes into fetching its image.
  *
  * @param startWithinS seconds from its submission within which a service should run
+ * @param nowS monotonic time in seconds
  */
 public record ReplicaStartTimes(ToDoubleFunction<Job> startWithinS, double nowS) {
 
-    /** Seconds until the image is there. */
-    public double imageFetchS(Job j, Machine m) {
-        if (m.cachedImages.contains(j.spec.image())) {
+    /** Returns the estimated seconds until the machine has the job's image; 0 if it is cached. */
+    public double imageFetchS(Job job, Machine machine) {
+        if (machine.cachedImages.contains(job.spec.image())) {
             return 0;
         }
-        double fetch = j.spec.imageGb() / Math.max(0.01, m.type.fetchGbPerS());
-        for (Placement p : m.placements.values()) {
-            // That one's fetch is under way, and one serves both.
-            if (p.job.spec.image().equals(j.spec.image())) {
-                return fetch * Constants.SHARED_FETCH_SHARE;
+        double fetchS = job.spec.imageGb() / Math.max(0.01, machine.type.fetchGbPerS());
+        for (Placement placement : machine.placements.values()) {
+            // Another task there uses the same image, whose fetch is under way and serves both.
+            if (placement.job.spec.image().equals(job.spec.image())) {
+                return fetchS * Constants.SHARED_FETCH_SHARE;
             }
         }
-        return fetch;
+        return fetchS;
     }
 
-    /** Seconds by which it would be late, reckoned with a slow fetch; none of them for what has already gone by. */
-    public double latenessS(Job j, Machine m) {
-        double takes = imageFetchS(j, m) * Constants.SLOW_FETCH_FACTOR + Constants.REPLICA_START_S;
-        return Math.max(0, Math.min(takes, nowS - j.waitingSinceS + takes - startWithinS.applyAsDouble(j)));
+    /**
+     * Returns the seconds by which a replica would be late on the machine with a slow fetch, at most as many as its start
+     * takes: lateness that has passed already is the same on every machine and does not count.
+     */
+    public double latenessS(Job job, Machine machine) {
+        double startDurationS = imageFetchS(job, machine) * Constants.SLOW_FETCH_FACTOR + Constants.REPLICA_START_S;
+        return Math.max(
+                0,
+                Math.min(startDurationS, nowS - job.waitingSinceS + startDurationS - startWithinS.applyAsDouble(job)));
     }
 
-    /** Whether there may yet be a better place than an accelerator machine or one that makes it late. */
-    public boolean canWait(Job j) {
-        return nowS - j.waitingSinceS < Constants.CHEAP_FIRST_S;
+    /** Whether the service is so new that it waits for a better machine than an accelerator machine or one that is late. */
+    public boolean mayWaitForBetterMachine(Job job) {
+        return nowS - job.waitingSinceS < Constants.CHEAP_FIRST_S;
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/RoundState.java
+++ b/src/main/java/org/mountlug/core/allocate/RoundState.java
@@ -15,107 +15,116 @@
 import org.mountlug.core.zone.StartBudget;
 import org.mountlug.core.zone.ZoneMonitor;
 
-/** What one round sees and changes: the usable machines, what teams use, and what is known to find no room. */
+/** State shared within one round: the views of the usable machines, the teams' usage and the unplaceable requests. */
 final class RoundState {
     final Cluster cluster;
     final ReplicaStartTimes replicaStartTimes;
     final double nowS;
     final Map<String, MachineView> machineViews = new LinkedHashMap<>();
     final Map<String, Resources> usageByTeam;
-    /** The room of all usable machines together. */
+    /** Capacity of all usable machines together. */
     final Resources totalCapacity;
 
     final double lowestPricePerHour;
     final UnplaceableRequests unplaceableRequests = new UnplaceableRequests();
-    private final ToDoubleFunction<Job> dueOrder;
-    /** The order of all work while a zone is not present, else null. */
+    private final ToDoubleFunction<Job> orderKey;
+    /** Order of all work while a zone is not present, else null. */
     private final DisplacementOrder displacement;
 
     private int placedCount;
 
     RoundState(
-            Cluster cluster, ZoneMonitor zones, ToDoubleFunction<Job> dueOrder, ReplicaStartTimes times, double nowS) {
+            Cluster cluster,
+            ZoneMonitor zones,
+            ToDoubleFunction<Job> orderKey,
+            ReplicaStartTimes replicaStartTimes,
+            double nowS) {
         this.cluster = cluster;
-        this.dueOrder = dueOrder;
-        this.displacement = zones.displacementOrder(dueOrder);
-        this.replicaStartTimes = times;
+        this.orderKey = orderKey;
+        this.displacement = zones.displacementOrder(orderKey);
+        this.replicaStartTimes = replicaStartTimes;
         this.nowS = nowS;
         this.usageByTeam = cluster.usageByTeam();
-        Map<String, StartBudget> budgets = zones.startBudgets();
-        Resources all = Resources.ZERO;
+        Map<String, StartBudget> startBudgets = zones.startBudgets();
+        Resources capacity = Resources.ZERO;
         for (Machine machine : cluster.machines.values()) {
             if (machine.isSchedulable() && zones.acceptsWork(machine.zone)) {
                 MachineType type = machine.type;
-                MachineView node = new MachineView(
+                MachineView machineView = new MachineView(
                         machine, cluster.preemptingAcceleratorHostDemand(type), cluster.acceleratorHostDemand(type));
-                node.setStartBudget(budgets.get(machine.zone));
-                machineViews.put(machine.name, node);
-                all = all.plus(type.capacity());
+                machineView.setStartBudget(startBudgets.get(machine.zone));
+                machineViews.put(machine.name, machineView);
+                capacity = capacity.plus(type.capacity());
             }
         }
-        totalCapacity = all;
-        double least = Double.MAX_VALUE;
+        totalCapacity = capacity;
+        double lowestPrice = Double.MAX_VALUE;
         for (MachineType type : cluster.types()) {
-            least = Math.min(least, type.onDemandPricePerHour());
+            lowestPrice = Math.min(lowestPrice, type.onDemandPricePerHour());
         }
-        lowestPricePerHour = Math.max(least, 1e-6);
+        lowestPricePerHour = Math.max(lowestPrice, 1e-6);
     }
 
-    /** How many tasks this round has placed. */
+    /** Returns how many tasks this round has placed. */
     int placedCount() {
         return placedCount;
     }
 
-    /** The jobs in the order in which they are served. */
+    /** Returns queues that yield the jobs in the order in which they are to be placed. */
     TeamQueues teamQueues(Iterable<Job> jobs) {
-        return new TeamQueues(jobs, dueOrder, displacement, cluster::team, usageByTeam, totalCapacity, nowS);
+        return new TeamQueues(jobs, orderKey, displacement, cluster::team, usageByTeam, totalCapacity, nowS);
     }
 
-    /** Drops a job's reservations. */
-    void releaseReservations(Job j) {
-        List<Reservation> old = cluster.reservations.remove(j.spec.id());
-        if (old == null) {
+    /** Removes a job's reservations and returns their capacity to the machine views. */
+    void releaseReservations(Job job) {
+        List<Reservation> released = cluster.reservations.remove(job.spec.id());
+        if (released == null) {
             return;
         }
-        for (Reservation r : old) {
-            unpipeline(j, r);
+        for (Reservation reservation : released) {
+            returnReservedCapacity(job, reservation);
         }
     }
 
-    private void unpipeline(Job j, Reservation r) {
-        MachineView n = machineViews.get(r.machine());
-        if (n != null) {
-            n.reserved = n.reserved.minus(j.spec.request());
+    private void returnReservedCapacity(Job job, Reservation reservation) {
+        MachineView machineView = machineViews.get(reservation.machine());
+        if (machineView != null) {
+            machineView.reserved = machineView.reserved.minus(job.spec.request());
             unplaceableRequests.clear();
         }
     }
 
-    /** Lower is better: seconds of fetching, then machines that are busy already, so that others fall idle. */
-    double placementCost(Job j, MachineView n) {
-        Machine m = n.machine;
-        double c =
-                m.cachedImages.contains(j.spec.image()) ? 0 : j.spec.imageGb() / Math.max(0.01, m.type.fetchGbPerS());
-        if (j.spec.request().gpus() == 0 && m.type.capacity().gpus() > 0) {
-            c += 30;
+    /**
+     * Returns the cost of placing a task on a machine, in seconds of a later start; lower is better. It is made of the
+     * image fetch, penalties for CPU-only work on accelerator machines and for failures, and a small preference for
+     * machines in use, so that others fall idle.
+     */
+    double placementCostS(Job job, MachineView machineView) {
+        Machine machine = machineView.machine;
+        double costS = machine.cachedImages.contains(job.spec.image())
+                ? 0
+                : job.spec.imageGb() / Math.max(0.01, machine.type.fetchGbPerS());
+        if (job.spec.request().gpus() == 0 && machine.type.capacity().gpus() > 0) {
+            costS += 30;
         }
-        if (j.failureHistory.failedMachines().contains(m.name)) {
-            c += Constants.JOB_FAILURE_PENALTY_S;
+        if (job.failureHistory.failedMachines().contains(machine.name)) {
+            costS += Constants.JOB_FAILURE_PENALTY_S;
         }
-        c += 4 * (1 - n.utilization()) + 5 * m.failureCount();
-        return c;
+        costS += 4 * (1 - machineView.utilization()) + 5 * machine.failureCount();
+        return costS;
     }
 
-    /** Makes placements of what was tried. */
-    void commit(PlacementTransaction s) {
-        Job j = s.job;
-        long attempt = ++j.lastAttempt;
-        for (PlacementTransaction.Assignment o : s.assignments()) {
-            cluster.place(j, o.task(), attempt, o.machineView().machine, nowS);
-            o.machineView().machine.idleSinceS = nowS;
+    /** Records the assignments of a transaction as placements, all with one new attempt number. */
+    void commit(PlacementTransaction transaction) {
+        Job job = transaction.job;
+        long attempt = ++job.lastAttempt;
+        for (PlacementTransaction.Assignment assignment : transaction.assignments()) {
+            cluster.place(job, assignment.task(), attempt, assignment.machineView().machine, nowS);
+            assignment.machineView().machine.idleSinceS = nowS;
             placedCount++;
         }
-        if (j.spec.isGang()) {
-            cluster.addEvent("placed gangs", j.spec.id() + " after " + Math.round(nowS - j.waitingSinceS) + " s");
+        if (job.spec.isGang()) {
+            cluster.addEvent("placed gangs", job.spec.id() + " after " + Math.round(nowS - job.waitingSinceS) + " s");
         }
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/TeamQueues.java
+++ b/src/main/java/org/mountlug/core/allocate/TeamQueues.java
@@ -16,70 +16,75 @@
 import org.mountlug.core.zone.DisplacementOrder;
 
 /**
- * A queue for each team and priority. Higher priorities go first; within one, the team that uses least of what it is
- * due has the next turn, so that no team waits behind another's backlog. While work is displaced from a lost zone, the
- * displacement order decides between teams instead, but for those that are within their guarantee. Either order would keep
- * some jobs from ever beginning, so what has waited long enough goes ahead until its first tasks are placed.
+ * Orders jobs in one queue for each team and priority. Higher priorities go first. Within a priority the team that uses the
+ * smallest share of its guarantee goes first, then teams that exceed theirs or have none, so that no team waits behind
+ * another's backlog. While a zone is not present, the displacement order replaces priorities by levels and decides between
+ * teams, except for teams within their guarantee. Both orders could starve a job, so a job that has waited too long goes
+ * ahead until its first tasks are placed.
  */
 public final class TeamQueues {
-    /** Queues by level, the first level served first, and by team. */
+    /** Queues by level, lowest first, and by team. */
     private final TreeMap<Integer, Map<String, ArrayDeque<Job>>> queues = new TreeMap<>();
-    /** Jobs that have waited too long to begin: ahead of everything, the oldest first. */
-    private final ArrayDeque<Job> overdue = new ArrayDeque<>();
+    /** Jobs without any placement so far that have waited too long; they go ahead of all queues, the oldest first. */
+    private final ArrayDeque<Job> starvingJobs = new ArrayDeque<>();
 
     private final DisplacementOrder displacement;
     private final Function<String, Team> teams;
-    private final Map<String, Resources> usage;
-    private final Resources whole;
+    private final Map<String, Resources> usageByTeam;
+    private final Resources totalCapacity;
 
     /**
      * Sorts the jobs into their queues.
      *
-     * @param displacement the order of all work while a zone is not present, else null
-     * @param totalCapacity the room of all machines together
+     * @param orderKey key by which the jobs of a queue are sorted, lowest first; unused with a displacement order
+     * @param displacement order of all work while a zone is not present, else null
+     * @param teams returns the team of a name, or null
+     * @param usageByTeam resources in use by team, which the caller updates as it places jobs
+     * @param totalCapacity capacity of all machines together
      */
     public TeamQueues(
             Iterable<Job> jobs,
             ToDoubleFunction<Job> orderKey,
             DisplacementOrder displacement,
             Function<String, Team> teams,
-            Map<String, Resources> usage,
+            Map<String, Resources> usageByTeam,
             Resources totalCapacity,
             double nowS) {
         this.displacement = displacement;
         this.teams = teams;
-        this.usage = usage;
-        this.whole = totalCapacity;
+        this.usageByTeam = usageByTeam;
+        this.totalCapacity = totalCapacity;
         List<Job> sorted = new ArrayList<>();
         jobs.forEach(sorted::add);
         sorted.sort(
                 displacement != null
                         ? displacement
                         : Comparator.comparingDouble(orderKey).thenComparing(job -> job.spec.id()));
-        List<Job> late = new ArrayList<>();
+        List<Job> starving = new ArrayList<>();
         for (Job job : sorted) {
             if (!job.everPlaced && nowS - job.waitingSinceS > Constants.STARVATION_LIMIT_S) {
-                late.add(job);
+                starving.add(job);
             } else {
                 queues.computeIfAbsent(level(job), level -> new HashMap<>())
                         .computeIfAbsent(job.spec.team(), team -> new ArrayDeque<>())
                         .add(job);
             }
         }
-        late.sort(Comparator.comparingLong(job -> job.spec.submittedMs()));
-        overdue.addAll(late);
+        starving.sort(Comparator.comparingLong(job -> job.spec.submittedMs()));
+        starvingJobs.addAll(starving);
     }
 
+    /** Returns the level of a job's queue; lower levels go first. */
     private int level(Job job) {
         return displacement != null
                 ? displacement.level(job)
                 : -job.spec.priority().ordinal();
     }
 
-    /** The next job, or null; {@code usage} may change between calls. */
+    /** Removes and returns the next job, or null if all queues are empty; the teams' usage may change between calls. */
     public Job next() {
-        if (!overdue.isEmpty()) {
-            return overdue.poll();
+        if (!starvingJobs.isEmpty()) {
+            return starvingJobs.poll();
         }
         for (Map<String, ArrayDeque<Job>> level : queues.values()) {
             String team = nextTeam(level);
@@ -90,41 +95,45 @@
         return null;
     }
 
-    /** The team whose turn it is among the queues of one level, or null if all are empty. */
+    /** Returns the team whose job is next among the queues of one level, or null if all are empty. */
     private String nextTeam(Map<String, ArrayDeque<Job>> level) {
-        String best = null;
-        double least = Double.MAX_VALUE;
+        String bestTeam = null;
+        double lowestShare = Double.MAX_VALUE;
         for (Map.Entry<String, ArrayDeque<Job>> entry : level.entrySet()) {
             if (entry.getValue().isEmpty()) {
                 continue;
             }
             String team = entry.getKey();
-            double due = due(team);
-            if (best == null || goesBefore(team, due, best, least, level)) {
-                least = due;
-                best = team;
+            double share = usageShare(team);
+            if (bestTeam == null || precedes(team, share, bestTeam, lowestShare, level)) {
+                lowestShare = share;
+                bestTeam = team;
             }
         }
-        return best;
+        return bestTeam;
     }
 
-    private boolean goesBefore(
-            String team, double due, String other, double otherDue, Map<String, ArrayDeque<Job>> level) {
-        boolean bothBeyondGuarantees = due >= 1 && otherDue >= 1;
+    /** Whether the next job of {@code team} goes before that of {@code other}. */
+    private boolean precedes(
+            String team, double share, String other, double otherShare, Map<String, ArrayDeque<Job>> level) {
+        boolean bothBeyondGuarantees = share >= 1 && otherShare >= 1;
         if (displacement != null && bothBeyondGuarantees) {
             return displacement.compare(level.get(team).peek(), level.get(other).peek()) < 0;
         }
-        return due < otherDue || due == otherDue && team.compareTo(other) < 0;
+        return share < otherShare || share == otherShare && team.compareTo(other) < 0;
     }
 
-    /** What a team uses, as a part of what it is due. */
-    private double due(String name) {
-        Team team = teams.apply(name);
-        Resources used = usage.getOrDefault(name, Resources.ZERO);
+    /**
+     * Returns the share of its guarantee that a team uses or, for a team without a guarantee, 1 plus the share of the total
+     * capacity that it uses. Either share is divided by the team weight.
+     */
+    private double usageShare(String teamName) {
+        Team team = teams.apply(teamName);
+        Resources used = usageByTeam.getOrDefault(teamName, Resources.ZERO);
         double weight = team == null ? 1 : team.weight();
         if (team != null && (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0)) {
             return used.dominantShareOf(new Resources(team.guaranteedCpus(), team.guaranteedGpus(), 0)) / weight;
         }
-        return 1 + used.dominantShareOf(whole) / weight;
+        return 1 + used.dominantShareOf(totalCapacity) / weight;
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/UnplaceableRequests.java
+++ b/src/main/java/org/mountlug/core/allocate/UnplaceableRequests.java
@@ -8,13 +8,14 @@
 import org.mountlug.core.model.Resources;
 
 /**
- * Needs for which no machine had room in a round. Room only shrinks while tasks are placed, so whatever needs as much under
- * the same rules of place finds none either, and a swarm of small jobs does not look at every machine for each of them.
+ * Resource requests that fitted on no machine in this round. Free capacity only shrinks while tasks are placed, so a request
+ * at least as large under the same placement rules does not fit either. This saves scanning all machines for each of many
+ * small jobs.
  */
 final class UnplaceableRequests {
-    private record Rules(List<String> types, String zone, boolean spot, boolean plain, boolean overflowing) {
-        static Rules of(JobSpec spec, boolean overflowing) {
-            return new Rules(
+    private record PlacementRules(List<String> types, String zone, boolean spot, boolean cpuOnly, boolean overflowing) {
+        static PlacementRules of(JobSpec spec, boolean overflowing) {
+            return new PlacementRules(
                     spec.machineTypes(),
                     spec.zone(),
                     spec.spotAllowed(),
@@ -23,27 +24,28 @@
         }
     }
 
-    private final Map<Rules, List<Resources>> refused = new HashMap<>();
+    private final Map<PlacementRules, List<Resources>> requestsByRules = new HashMap<>();
 
-    /** Whether it is known already that a task of this job finds no room. */
+    /** Whether a task of this job is known to fit on no machine. */
     boolean includes(JobSpec spec, boolean overflowing) {
-        for (Resources less : refused.getOrDefault(Rules.of(spec, overflowing), List.of())) {
-            if (less.fitsIn(spec.request())) {
+        for (Resources unplaceable : requestsByRules.getOrDefault(PlacementRules.of(spec, overflowing), List.of())) {
+            if (unplaceable.fitsIn(spec.request())) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A task of this job has found no room. */
+    /** Records that a task of this job fits on no machine. */
     void add(JobSpec spec, boolean overflowing) {
-        List<Resources> known = refused.computeIfAbsent(Rules.of(spec, overflowing), rules -> new ArrayList<>());
-        known.removeIf(more -> spec.request().fitsIn(more));
-        known.add(spec.request());
+        List<Resources> requests =
+                requestsByRules.computeIfAbsent(PlacementRules.of(spec, overflowing), rules -> new ArrayList<>());
+        requests.removeIf(other -> spec.request().fitsIn(other));
+        requests.add(spec.request());
     }
 
-    /** Room may have been given back. */
+    /** Forgets all requests, as capacity may have been released. */
     void clear() {
-        refused.clear();
+        requestsByRules.clear();
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/package-info.java
+++ b/src/main/java/org/mountlug/core/allocate/package-info.java
@@ -1,2 +1,2 @@
-/** Rounds that place the tasks of jobs on machines, after the design of pipelined gangs. */
+/** Allocation rounds: place the tasks of jobs on machines, and reserve releasing capacity for gangs. */
 package org.mountlug.core.allocate;
--- a/src/main/java/org/mountlug/core/preempt/BestEffortPreemption.java
+++ b/src/main/java/org/mountlug/core/preempt/BestEffortPreemption.java
@@ -15,9 +15,9 @@
 import org.mountlug.core.model.Team;
 
 /**
- * Room for arrays without accelerators that are inside their team's guarantee, at the cost of idle work of teams that have
- * none. Such arrays are otherwise queued and wait for tasks to end, which is no promise where a guest's tasks run for
- * minutes. Guests together keep a part of the room, so that they are served all the same.
+ * Stops best-effort tasks (array tasks of idle priority whose team has no guarantee) for CPU-only arrays within their team's
+ * guarantee. Without this, such arrays would wait for tasks to end, and a guarantee would mean little where best-effort
+ * tasks run for minutes. A share of the CPUs stays with best-effort tasks, so that some of them run to their end.
  */
 final class BestEffortPreemption {
     private final Cluster cluster;
@@ -26,9 +26,9 @@
         this.cluster = cluster;
     }
 
-    /** What guests run that may be stopped, the cheapest first, by machine; empty where there is nothing to take. */
-    private Map<String, List<Placement>> guestTasks(double nowS) {
-        Map<String, List<Placement>> byMachine = new LinkedHashMap<>();
+    /** Returns the best-effort tasks that may be stopped, by machine, those that lose least work first. */
+    private Map<String, List<Placement>> stoppableTasksByMachine(double nowS) {
+        Map<String, List<Placement>> tasksByMachine = new LinkedHashMap<>();
         for (Job job : cluster.jobs.values()) {
             if (job.spec.priority() != Priority.IDLE
                     || job.spec.isGang()
@@ -38,14 +38,14 @@
             }
             for (Placement placement : job.placements.values()) {
                 if (!placement.stopping && !placement.standby) {
-                    byMachine
+                    tasksByMachine
                             .computeIfAbsent(placement.machine, m -> new ArrayList<>())
                             .add(placement);
                 }
             }
         }
-        byMachine.values().forEach(tasks -> tasks.sort(Comparator.comparingDouble(p -> lossS(p, nowS))));
-        return byMachine;
+        tasksByMachine.values().forEach(tasks -> tasks.sort(Comparator.comparingDouble(p -> lossS(p, nowS))));
+        return tasksByMachine;
     }
 
     private boolean hasGuarantee(Job job) {
@@ -53,46 +53,57 @@
         return team != null && (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0);
     }
 
+    /** Returns the seconds of work that stopping a task loses: with checkpoints at most the time to save. */
     private static double lossS(Placement placement, double nowS) {
         double ranS = Double.isNaN(placement.runningSinceS) ? 0 : nowS - placement.runningSinceS;
-        double checkpointS = placement.job.spec.checkpointIntervalS();
-        return checkpointS > 0 ? Math.min(ranS, placement.job.spec.checkpointSaveS()) : ranS;
+        double checkpointIntervalS = placement.job.spec.checkpointIntervalS();
+        return checkpointIntervalS > 0 ? Math.min(ranS, placement.job.spec.checkpointSaveS()) : ranS;
     }
 
-    /** Stops guests' tasks for these jobs, the most urgent first, each within its team's guarantee. */
+    /**
+     * Stops best-effort tasks to free capacity for jobs, each within its team's guarantee.
+     *
+     * @param unplacedJobs the jobs that the last round could not place, the most urgent first
+     * @param machineViews views as the last round left them; capacity freed here is added and reserved in them
+     * @param usageByTeam resources that each team uses
+     */
     void preemptFor(
-            Iterable<Job> unplaced, Map<String, MachineView> machineViews, Map<String, Resources> usage, double nowS) {
-        Map<String, List<Placement>> tasks = guestTasks(nowS);
-        if (tasks.isEmpty()) {
+            Iterable<Job> unplacedJobs,
+            Map<String, MachineView> machineViews,
+            Map<String, Resources> usageByTeam,
+            double nowS) {
+        Map<String, List<Placement>> tasksByMachine = stoppableTasksByMachine(nowS);
+        if (tasksByMachine.isEmpty()) {
             return;
         }
-        Resources whole = Resources.ZERO;
-        for (MachineView node : machineViews.values()) {
-            whole = whole.plus(node.machine.type.capacity());
+        Resources totalCapacity = Resources.ZERO;
+        for (MachineView machineView : machineViews.values()) {
+            totalCapacity = totalCapacity.plus(machineView.machine.type.capacity());
         }
-        double cpusToTake = guestCpus(tasks) - Constants.BEST_EFFORT_MIN_CPU_SHARE * whole.cpus();
-        Map<String, Resources> claimed = new LinkedHashMap<>(usage);
-        for (Job job : unplaced) {
-            if (cpusToTake <= 0) {
+        double maxCpus = totalCpus(tasksByMachine) - Constants.BEST_EFFORT_MIN_CPU_SHARE * totalCapacity.cpus();
+        Map<String, Resources> claimedByTeam = new LinkedHashMap<>(usageByTeam);
+        for (Job job : unplacedJobs) {
+            if (maxCpus <= 0) {
                 return;
             }
-            if (mayClaim(job, nowS)) {
-                cpusToTake -= claim(job, tasks, machineViews, claimed, cpusToTake);
+            if (mayPreempt(job, nowS)) {
+                maxCpus -= stopTasksFor(job, tasksByMachine, machineViews, claimedByTeam, maxCpus);
             }
         }
     }
 
-    private static double guestCpus(Map<String, List<Placement>> tasks) {
+    private static double totalCpus(Map<String, List<Placement>> tasksByMachine) {
         double cpus = 0;
-        for (List<Placement> l : tasks.values()) {
-            for (Placement placement : l) {
+        for (List<Placement> tasks : tasksByMachine.values()) {
+            for (Placement placement : tasks) {
                 cpus += placement.job.spec.request().cpus();
             }
         }
         return cpus;
     }
 
-    private boolean mayClaim(Job job, double nowS) {
+    /** Whether best-effort tasks may be stopped for a job: a CPU-only array that has waited for the preemption delay. */
+    private boolean mayPreempt(Job job, double nowS) {
         return !job.cancelled
                 && !job.failureHistory.isSuspected()
                 && !job.spec.isGang()
@@ -103,67 +114,77 @@
                 && hasGuarantee(job);
     }
 
-    /** Makes room for tasks of the job; returns the CPUs that were taken from guests. */
-    private double claim(
+    /**
+     * Stops best-effort tasks to free capacity for pending tasks of a job and returns the CPUs of the stopped tasks.
+     *
+     * @param claimedByTeam resources that each team uses or that were freed for it; updated here
+     * @param maxCpus number of CPUs after which no further task is stopped
+     */
+    private double stopTasksFor(
             Job job,
-            Map<String, List<Placement>> tasks,
+            Map<String, List<Placement>> tasksByMachine,
             Map<String, MachineView> machineViews,
-            Map<String, Resources> claimed,
-            double cpusToTake) {
+            Map<String, Resources> claimedByTeam,
+            double maxCpus) {
         Team team = cluster.team(job.spec.team());
-        Resources need = job.spec.request();
-        int wanted = job.pendingTaskCount();
-        double taken = 0;
-        for (Map.Entry<String, List<Placement>> entry : tasks.entrySet()) {
-            MachineView node = machineViews.get(entry.getKey());
-            if (node == null || !job.spec.allows(node.machine.type.name(), node.machine.zone, node.machine.spot)) {
+        Resources request = job.spec.request();
+        int missingTasks = job.pendingTaskCount();
+        double stoppedCpus = 0;
+        for (Map.Entry<String, List<Placement>> entry : tasksByMachine.entrySet()) {
+            MachineView machineView = machineViews.get(entry.getKey());
+            if (machineView == null
+                    || !job.spec.allows(
+                            machineView.machine.type.name(), machineView.machine.zone, machineView.machine.spot)) {
                 continue;
             }
-            // On accelerator machines such arrays get only what is left, so room there would go back to guests at once.
-            if (node.machine.type.capacity().gpus() > 0) {
+            // On accelerator machines CPU-only arrays get only what accelerator work leaves, so best-effort tasks
+            // would get the freed capacity back at once.
+            if (machineView.machine.type.capacity().gpus() > 0) {
                 continue;
             }
-            if (node.machine.heldForGang != null || !job.zoneRulesAllow(node.machine.zone, 1)) {
+            if (machineView.machine.heldForGang != null || !job.zoneRulesAllow(machineView.machine.zone, 1)) {
                 continue;
             }
-            // What was told to stop before and is not gone yet serves first.
-            int before = need.countIn(node.futureFree());
-            int served = Math.min(before, wanted);
-            for (int i = 0; i < served; i++) {
-                node.reserved = node.reserved.plus(need);
-                claimed.merge(job.spec.team(), need, Resources::plus);
+            // Uses free capacity and that of tasks that are stopping already before any other task is stopped.
+            int alreadyFitting = request.countIn(machineView.futureFree());
+            int servedTasks = Math.min(alreadyFitting, missingTasks);
+            for (int i = 0; i < servedTasks; i++) {
+                machineView.reserved = machineView.reserved.plus(request);
+                claimedByTeam.merge(job.spec.team(), request, Resources::plus);
             }
-            wanted -= served;
-            Resources room = node.futureFree();
-            for (Placement guest : entry.getValue()) {
-                Resources then =
-                        claimed.getOrDefault(job.spec.team(), Resources.ZERO).plus(need);
-                if (wanted <= 0 || taken >= cpusToTake || !team.isWithinGuarantee(then)) {
-                    return taken;
+            missingTasks -= servedTasks;
+            Resources available = machineView.futureFree();
+            for (Placement victim : entry.getValue()) {
+                Resources claimedWithTask = claimedByTeam
+                        .getOrDefault(job.spec.team(), Resources.ZERO)
+                        .plus(request);
+                if (missingTasks <= 0 || stoppedCpus >= maxCpus || !team.isWithinGuarantee(claimedWithTask)) {
+                    return stoppedCpus;
                 }
-                if (guest.stopping) {
+                if (victim.stopping) {
                     continue;
                 }
-                stop(guest, job);
-                taken += guest.job.spec.request().cpus();
-                node.releasing = node.releasing.plus(guest.job.spec.request());
-                room = room.plus(guest.job.spec.request());
-                while (wanted > 0 && need.fitsIn(room)) {
-                    room = room.minus(need);
-                    node.reserved = node.reserved.plus(need);
-                    claimed.merge(job.spec.team(), need, Resources::plus);
-                    wanted--;
+                stop(victim, job);
+                stoppedCpus += victim.job.spec.request().cpus();
+                machineView.releasing = machineView.releasing.plus(victim.job.spec.request());
+                available = available.plus(victim.job.spec.request());
+                while (missingTasks > 0 && request.fitsIn(available)) {
+                    available = available.minus(request);
+                    machineView.reserved = machineView.reserved.plus(request);
+                    claimedByTeam.merge(job.spec.team(), request, Resources::plus);
+                    missingTasks--;
                 }
             }
         }
-        return taken;
+        return stoppedCpus;
     }
 
-    private void stop(Placement guest, Job job) {
-        guest.requestStop(
-                guest.job.spec.checkpointIntervalS() > 0
-                        ? guest.job.spec.checkpointSaveS() + Constants.SAVE_GRACE_S
+    private void stop(Placement victim, Job job) {
+        victim.requestStop(
+                victim.job.spec.checkpointIntervalS() > 0
+                        ? victim.job.spec.checkpointSaveS() + Constants.SAVE_GRACE_S
                         : 0);
-        cluster.addEvent("preempted for the guarantee of " + job.spec.id(), guest.taskName() + " on " + guest.machine);
+        cluster.addEvent(
+                "preempted for the guarantee of " + job.spec.id(), victim.taskName() + " on " + victim.machine);
     }
 }
--- a/src/main/java/org/mountlug/core/preempt/Preemptor.java
+++ b/src/main/java/org/mountlug/core/preempt/Preemptor.java
@@ -19,296 +19,345 @@
 import org.mountlug.core.model.Team;
 
 /**
- * Stops tasks where the protocol allows it: for a job of higher priority, or for a team that is below its guarantee
- * and at the cost of one above its own. The room becomes releasing room, which the next round reserves for the gang.
+ * Selects and stops tasks for pending jobs: tasks of a lower priority, or, for a team within its guarantee, tasks of a team
+ * above its own. Their capacity becomes releasing capacity, which the next round can reserve for a gang.
  */
 public final class Preemptor {
-    /** Tasks of an array for which room is made in one round. */
-    private static final int ARRAY_TASKS = 4;
+    /** Maximum number of tasks of one array for which tasks are stopped in one round. */
+    private static final int MAX_ARRAY_TASKS_PER_ROUND = 4;
 
     private final Cluster cluster;
-    private final Map<String, Double> lastFor = new HashMap<>();
-    private final BestEffortPreemption guests;
-    private ReplicaStartTimes times;
+    /** By the ID of the job for which tasks were stopped: monotonic time of the last stop in seconds. */
+    private final Map<String, Double> lastPreemptionByJobS = new HashMap<>();
 
-    /** Decides for the jobs and machines of this cluster. */
+    private final BestEffortPreemption bestEffortPreemption;
+    private ReplicaStartTimes replicaStartTimes;
+
+    /** Creates a preemptor for the jobs and machines of the cluster. */
     public Preemptor(Cluster cluster) {
         this.cluster = cluster;
-        this.guests = new BestEffortPreemption(cluster);
+        this.bestEffortPreemption = new BestEffortPreemption(cluster);
     }
 
-    /** Stops tasks to make room for jobs that the round before could not place, the most urgent first. */
+    /**
+     * Stops tasks to free capacity for jobs that the last round could not place.
+     *
+     * @param unplacedJobs the jobs to free capacity for, the most urgent first
+     * @param machineViews views as the last round left them; capacity freed here is added and reserved in them
+     * @param usageByTeam resources that each team uses, those of stopping tasks included
+     * @param nowS monotonic time in seconds
+     */
     public void preemptFor(
-            Collection<Job> unplaced,
+            Collection<Job> unplacedJobs,
             Map<String, MachineView> machineViews,
-            Map<String, Resources> usage,
-            ReplicaStartTimes times,
+            Map<String, Resources> usageByTeam,
+            ReplicaStartTimes replicaStartTimes,
             double nowS) {
-        this.times = times;
-        lastFor.keySet().removeIf(id -> !cluster.jobs.containsKey(id));
-        Map<String, Resources> left = null;
-        for (Job j : unplaced) {
-            // Work without accelerators is queued, not forced in, as it has plenty of cheap machines to wait for; but
-            // not services, which are missed from the first second on.
-            if (j.cancelled
-                    || j.failureHistory.isSuspected()
-                    || j.spec.request().gpus() == 0 && !j.spec.isService()
-                    || cluster.reservations.containsKey(j.spec.id())) {
+        this.replicaStartTimes = replicaStartTimes;
+        lastPreemptionByJobS.keySet().removeIf(jobId -> !cluster.jobs.containsKey(jobId));
+        Map<String, Resources> usageAfterStops = null;
+        for (Job job : unplacedJobs) {
+            // CPU-only jobs wait in their queues, as CPU machines are plentiful. CPU-only services are preempted for,
+            // because their users miss them from the first second on.
+            if (job.cancelled
+                    || job.failureHistory.isSuspected()
+                    || job.spec.request().gpus() == 0 && !job.spec.isService()
+                    || cluster.reservations.containsKey(job.spec.id())) {
                 continue;
             }
-            if (nowS - lastFor.getOrDefault(j.spec.id(), -1e9) < Constants.PREEMPT_PAUSE_S) {
+            if (nowS - lastPreemptionByJobS.getOrDefault(job.spec.id(), -1e9) < Constants.PREEMPT_PAUSE_S) {
                 continue;
             }
-            if (j.spec.isGang() && !j.placements.isEmpty()) {
+            if (job.spec.isGang() && !job.placements.isEmpty()) {
                 continue;
             }
-            JobSpec s = j.spec;
-            int want = s.isGang()
-                    ? s.tasks()
-                    : s.isService() ? j.pendingTaskCount() : Math.min(j.pendingTaskCount(), ARRAY_TASKS);
-            int least = s.isGang() ? want : 1;
-            Resources then = usage.getOrDefault(s.team(), Resources.ZERO)
+            JobSpec spec = job.spec;
+            int maxTasks = spec.isGang()
+                    ? spec.tasks()
+                    : spec.isService()
+                            ? job.pendingTaskCount()
+                            : Math.min(job.pendingTaskCount(), MAX_ARRAY_TASKS_PER_ROUND);
+            int minTasks = spec.isGang() ? maxTasks : 1;
+            Resources usageWithJob = usageByTeam
+                    .getOrDefault(spec.team(), Resources.ZERO)
                     .plus(new Resources(
-                            s.request().cpus() * least,
-                            s.request().gpus() * least,
-                            s.request().ramGb() * least));
-            Team team = cluster.team(s.team());
-            if (team != null && !team.isWithinLimit(then)) {
+                            spec.request().cpus() * minTasks,
+                            spec.request().gpus() * minTasks,
+                            spec.request().ramGb() * minTasks));
+            Team team = cluster.team(spec.team());
+            if (team != null && !team.isWithinLimit(usageWithJob)) {
                 continue;
             }
-            boolean due = team != null && team.isWithinGuarantee(then);
-            if (left == null) {
-                left = remaining(usage);
+            boolean withinGuarantee = team != null && team.isWithinGuarantee(usageWithJob);
+            if (usageAfterStops == null) {
+                usageAfterStops = usageAfterStops(usageByTeam);
             }
             Set<String> zones = new LinkedHashSet<>();
-            if (s.isGang() && s.oneZone()) {
-                for (MachineView n : machineViews.values()) {
-                    zones.add(n.machine.zone);
+            if (spec.isGang() && spec.oneZone()) {
+                for (MachineView machineView : machineViews.values()) {
+                    zones.add(machineView.machine.zone);
                 }
             } else {
                 zones.add(null);
             }
             for (String zone : zones) {
-                Plan p = plan(j, zone, want, least, due, machineViews, left, nowS);
-                if (p == null) {
+                PreemptionPlan plan =
+                        planStops(job, zone, maxTasks, minTasks, withinGuarantee, machineViews, usageAfterStops, nowS);
+                if (plan == null) {
                     continue;
                 }
-                for (Placement v : p.victims) {
-                    v.requestStop(
-                            v.job.spec.checkpointIntervalS() > 0
-                                    ? v.job.spec.checkpointSaveS() + Constants.SAVE_GRACE_S
+                for (Placement victim : plan.victims) {
+                    victim.requestStop(
+                            victim.job.spec.checkpointIntervalS() > 0
+                                    ? victim.job.spec.checkpointSaveS() + Constants.SAVE_GRACE_S
                                     : 0);
-                    if (v.job.spec.isGang()) {
-                        for (Placement q : v.job.placements.values()) {
-                            q.requestStop(v.gracePeriodS);
+                    if (victim.job.spec.isGang()) {
+                        for (Placement gangPlacement : victim.job.placements.values()) {
+                            gangPlacement.requestStop(victim.gracePeriodS);
                         }
                     }
-                    cluster.addEvent("preempted for " + s.id(), v.taskName() + " on " + v.machine);
+                    cluster.addEvent("preempted for " + spec.id(), victim.taskName() + " on " + victim.machine);
                 }
-                lastFor.put(s.id(), nowS);
-                left = p.left;
+                lastPreemptionByJobS.put(spec.id(), nowS);
+                usageAfterStops = plan.usageAfterStops;
                 break;
             }
         }
-        guests.preemptFor(unplaced, machineViews, usage, nowS);
+        bestEffortPreemption.preemptFor(unplacedJobs, machineViews, usageByTeam, nowS);
     }
 
-    /** What to stop for one job, and the room that it takes in the round's view. */
-    private static final class Plan {
+    /** The tasks to stop for one job, and the machines on which capacity is reserved for it. */
+    private static final class PreemptionPlan {
         final Set<Placement> victims = new LinkedHashSet<>();
-        final List<MachineView> claimed = new ArrayList<>();
-        final Map<String, Resources> left;
+        /** One entry for each reserved task. */
+        final List<MachineView> claimedMachines = new ArrayList<>();
+        /** Resources that each team would use without stopping tasks and the victims. */
+        final Map<String, Resources> usageAfterStops;
 
-        Plan(Map<String, Resources> left) {
-            this.left = new HashMap<>(left);
+        PreemptionPlan(Map<String, Resources> usageAfterStops) {
+            this.usageAfterStops = new HashMap<>(usageAfterStops);
         }
     }
 
-    /** What each team would use if all that was told to stop were gone: its guarantee is judged by that. */
-    private Map<String, Resources> remaining(Map<String, Resources> usage) {
-        Map<String, Resources> left = new HashMap<>(usage);
-        for (Job j : cluster.jobs.values()) {
-            for (Placement p : j.placements.values()) {
-                if (p.stopping) {
-                    left.merge(j.spec.team(), j.spec.request(), Resources::minus);
+    /** Returns what each team would use without its stopping tasks; guarantees of victims' teams are checked against it. */
+    private Map<String, Resources> usageAfterStops(Map<String, Resources> usageByTeam) {
+        Map<String, Resources> usageAfterStops = new HashMap<>(usageByTeam);
+        for (Job job : cluster.jobs.values()) {
+            for (Placement placement : job.placements.values()) {
+                if (placement.stopping) {
+                    usageAfterStops.merge(job.spec.team(), job.spec.request(), Resources::minus);
                 }
             }
         }
-        return left;
+        return usageAfterStops;
     }
 
-    /** What goes with a task that is stopped: a gang stops as a whole. */
-    private static Resources goesWith(Placement p) {
-        Resources n = p.job.spec.request();
-        int k = p.job.spec.isGang() ? p.job.placements.size() : 1;
-        return new Resources(n.cpus() * k, n.gpus() * k, n.ramGb() * k);
+    /** Returns the resources that stopping a task frees; a gang is stopped as a whole. */
+    private static Resources freedByStopping(Placement placement) {
+        Resources request = placement.job.spec.request();
+        int taskCount = placement.job.spec.isGang() ? placement.job.placements.size() : 1;
+        return new Resources(request.cpus() * taskCount, request.gpus() * taskCount, request.ramGb() * taskCount);
     }
 
     /**
-     * All or nothing: a gang for which not every task can be provided stops nobody, or what it stopped would be started
-     * again next round and stopped once more, for as long as it waits. Room that is free or held for it counts first.
+     * Returns the tasks to stop for a job and reserves their capacity in the machine views, or returns null if fewer than
+     * {@code minTasks} tasks would fit or nothing has to be stopped. For a gang, capacity that is free or held for it is
+     * used first, and nothing is stopped unless all of its tasks would fit; otherwise the stopped tasks would be started
+     * again in the next round and stopped once more, for as long as the gang waits.
+     *
+     * @param zone the only zone to consider, or null for all
+     * @param withinGuarantee whether the job's team stays within its guarantee with {@code minTasks} more tasks
      */
-    private Plan plan(
-            Job j,
+    private PreemptionPlan planStops(
+            Job job,
             String zone,
-            int want,
-            int least,
-            boolean due,
+            int maxTasks,
+            int minTasks,
+            boolean withinGuarantee,
             Map<String, MachineView> machineViews,
-            Map<String, Resources> left,
+            Map<String, Resources> usageAfterStops,
             double nowS) {
-        Plan p = new Plan(left);
-        Resources need = j.spec.request();
-        int got = 0;
-        Map<String, Integer> perZone = new HashMap<>();
-        if (j.spec.isGang()) {
-            for (MachineView n : machineViews.values()) {
-                while (got < want && may(j, n, zone) && need.fitsIn(n.futureFree())) {
-                    n.reserved = n.reserved.plus(need);
-                    p.claimed.add(n);
-                    got++;
+        PreemptionPlan plan = new PreemptionPlan(usageAfterStops);
+        Resources request = job.spec.request();
+        int claimedTasks = 0;
+        Map<String, Integer> tasksByZone = new HashMap<>();
+        if (job.spec.isGang()) {
+            for (MachineView machineView : machineViews.values()) {
+                while (claimedTasks < maxTasks
+                        && mayUse(job, machineView, zone)
+                        && request.fitsIn(machineView.futureFree())) {
+                    machineView.reserved = machineView.reserved.plus(request);
+                    plan.claimedMachines.add(machineView);
+                    claimedTasks++;
                 }
             }
         }
-        while (got < want) {
-            List<Placement> victims = cheapest(j, zone, due, p, perZone, machineViews, nowS);
+        while (claimedTasks < maxTasks) {
+            List<Placement> victims =
+                    findCheapestVictims(job, zone, withinGuarantee, plan, tasksByZone, machineViews, nowS);
             if (victims == null) {
                 break;
             }
-            MachineView n = machineViews.get(victims.get(0).machine);
-            for (Placement v : victims) {
-                n.releasing = n.releasing.plus(v.job.spec.request());
-                p.left.merge(v.job.spec.team(), goesWith(v), Resources::minus);
+            MachineView machineView = machineViews.get(victims.get(0).machine);
+            for (Placement victim : victims) {
+                machineView.releasing = machineView.releasing.plus(victim.job.spec.request());
+                plan.usageAfterStops.merge(victim.job.spec.team(), freedByStopping(victim), Resources::minus);
             }
-            p.victims.addAll(victims);
-            perZone.merge(n.machine.zone, 1, Integer::sum);
-            n.reserved = n.reserved.plus(need);
-            p.claimed.add(n);
-            got++;
+            plan.victims.addAll(victims);
+            tasksByZone.merge(machineView.machine.zone, 1, Integer::sum);
+            machineView.reserved = machineView.reserved.plus(request);
+            plan.claimedMachines.add(machineView);
+            claimedTasks++;
         }
-        if (got >= least && !p.victims.isEmpty()) {
-            return p;
+        if (claimedTasks >= minTasks && !plan.victims.isEmpty()) {
+            return plan;
         }
-        for (MachineView n : p.claimed) {
-            n.reserved = n.reserved.minus(need);
+        for (MachineView machineView : plan.claimedMachines) {
+            machineView.reserved = machineView.reserved.minus(request);
         }
-        for (Placement v : p.victims) {
-            MachineView n = machineViews.get(v.machine);
-            n.releasing = n.releasing.minus(v.job.spec.request());
+        for (Placement victim : plan.victims) {
+            MachineView machineView = machineViews.get(victim.machine);
+            machineView.releasing = machineView.releasing.minus(victim.job.spec.request());
         }
         return null;
     }
 
-    private static boolean may(Job j, MachineView n, String zone) {
-        return j.spec.allows(n.machine.type.name(), n.machine.zone, n.machine.spot)
-                && (zone == null || zone.equals(n.machine.zone))
-                && (n.machine.heldForGang == null || n.machine.heldForGang.equals(j.spec.id()));
+    /** Whether the job's rules and holds for other gangs allow a task on the machine; null as zone allows every zone. */
+    private static boolean mayUse(Job job, MachineView machineView, String zone) {
+        return job.spec.allows(machineView.machine.type.name(), machineView.machine.zone, machineView.machine.spot)
+                && (zone == null || zone.equals(machineView.machine.zone))
+                && (machineView.machine.heldForGang == null || machineView.machine.heldForGang.equals(job.spec.id()));
     }
 
-    private List<Placement> cheapest(
-            Job j,
+    /** Returns the tasks of one machine whose stop makes room for one task at the lowest cost, or null if there are none. */
+    private List<Placement> findCheapestVictims(
+            Job job,
             String zone,
-            boolean due,
-            Plan plan,
-            Map<String, Integer> perZone,
+            boolean withinGuarantee,
+            PreemptionPlan plan,
+            Map<String, Integer> tasksByZone,
             Map<String, MachineView> machineViews,
             double nowS) {
-        JobSpec s = j.spec;
+        JobSpec spec = job.spec;
         List<Placement> best = null;
-        double least = Double.MAX_VALUE;
-        for (MachineView n : machineViews.values()) {
-            if (!may(j, n, zone) || !s.request().fitsIn(n.machine.type.capacity())) {
+        double lowestCostS = Double.MAX_VALUE;
+        for (MachineView machineView : machineViews.values()) {
+            if (!mayUse(job, machineView, zone) || !spec.request().fitsIn(machineView.machine.type.capacity())) {
                 continue;
             }
-            if (s.isService()
-                    && s.request().gpus() == 0
-                    && n.machine.type.capacity().gpus() > 0) {
+            if (spec.isService()
+                    && spec.request().gpus() == 0
+                    && machineView.machine.type.capacity().gpus() > 0) {
                 continue;
             }
-            if (s.isService() && times.canWait(j) && times.latenessS(j, n.machine) > 0) {
+            if (spec.isService()
+                    && replicaStartTimes.mayWaitForBetterMachine(job)
+                    && replicaStartTimes.latenessS(job, machineView.machine) > 0) {
                 continue;
             }
-            if (s.spreadAcrossZones()
-                    && !j.zoneRulesAllow(n.machine.zone, 1 + perZone.getOrDefault(n.machine.zone, 0))) {
+            if (spec.spreadAcrossZones()
+                    && !job.zoneRulesAllow(
+                            machineView.machine.zone, 1 + tasksByZone.getOrDefault(machineView.machine.zone, 0))) {
                 continue;
             }
-            List<Placement> may = new ArrayList<>();
-            for (Placement p : n.machine.placements.values()) {
-                if (!p.stopping && !p.standby && !plan.victims.contains(p) && mayStop(s, due, p, plan.left, Map.of())) {
-                    may.add(p);
+            List<Placement> candidates = new ArrayList<>();
+            for (Placement placement : machineView.machine.placements.values()) {
+                if (!placement.stopping
+                        && !placement.standby
+                        && !plan.victims.contains(placement)
+                        && mayStop(spec, withinGuarantee, placement, plan.usageAfterStops, Map.of())) {
+                    candidates.add(placement);
                 }
             }
-            if (may.isEmpty()) {
+            if (candidates.isEmpty()) {
                 continue;
             }
-            may.sort(Comparator.comparingDouble(p -> loss(p, nowS)));
-            Resources room = n.futureFree();
-            List<Placement> taken = new ArrayList<>();
-            Map<String, Resources> gone = new HashMap<>();
-            // A start waits for its image too: a machine that has it is worth the loss of as much work.
-            double cost = n.machine.cachedImages.contains(s.image())
+            candidates.sort(Comparator.comparingDouble(placement -> stopCostS(placement, nowS)));
+            Resources available = machineView.futureFree();
+            List<Placement> victims = new ArrayList<>();
+            Map<String, Resources> freedByTeam = new HashMap<>();
+            // A start must wait for the image to be fetched, so the fetch counts as much as the same time of lost work.
+            double costS = machineView.machine.cachedImages.contains(spec.image())
                     ? 0
-                    : s.imageGb() / Math.max(0.01, n.machine.type.fetchGbPerS());
-            for (Placement p : may) {
-                if (s.request().fitsIn(room)) {
+                    : spec.imageGb() / Math.max(0.01, machineView.machine.type.fetchGbPerS());
+            for (Placement placement : candidates) {
+                if (spec.request().fitsIn(available)) {
                     break;
                 }
-                if (!mayStop(s, due, p, plan.left, gone)) {
+                if (!mayStop(spec, withinGuarantee, placement, plan.usageAfterStops, freedByTeam)) {
                     continue;
                 }
-                gone.merge(p.job.spec.team(), goesWith(p), Resources::plus);
-                room = room.plus(p.job.spec.request());
-                taken.add(p);
-                cost += loss(p, nowS);
+                freedByTeam.merge(placement.job.spec.team(), freedByStopping(placement), Resources::plus);
+                available = available.plus(placement.job.spec.request());
+                victims.add(placement);
+                costS += stopCostS(placement, nowS);
             }
-            if (!taken.isEmpty() && s.request().fitsIn(room) && cost < least) {
-                least = cost;
-                best = taken;
+            if (!victims.isEmpty() && spec.request().fitsIn(available) && costS < lowestCostS) {
+                lowestCostS = costS;
+                best = victims;
             }
         }
         return best;
     }
 
     /**
-     * Whether a task may be stopped, given what its team would be left with and what of that goes too. Only what runs
-     * beyond the other team's guarantee, of the kind that it is guaranteed, may be taken back, and a gang only if that
-     * holds for all of it; or the two teams stop each other's gangs in turn, for as long as both have some waiting.
+     * Whether a task may be stopped for a job. A task of a lower priority may be. Otherwise the job's team must stay within
+     * its guarantee, and the stop must leave the victim's team its own, a gang being counted as a whole: for
+     * accelerator tasks of a team with guaranteed accelerators it must still use at least these, for other tasks still more
+     * than its guarantee. Without this rule two teams would stop each other's gangs in turn for as long as both have some
+     * waiting.
+     *
+     * @param usageAfterStops resources that each team would use without stopping tasks and the plan's victims
+     * @param freedByTeam resources that further victims on the same machine would free
      */
     private boolean mayStop(
-            JobSpec s, boolean due, Placement p, Map<String, Resources> left, Map<String, Resources> gone) {
-        JobSpec v = p.job.spec;
-        // Accelerator work is worth more than the little room that a service takes beside it.
-        if (s.isService() && s.request().gpus() == 0 && (v.request().gpus() > 0 || v.isGang())) {
+            JobSpec spec,
+            boolean withinGuarantee,
+            Placement placement,
+            Map<String, Resources> usageAfterStops,
+            Map<String, Resources> freedByTeam) {
+        JobSpec victimSpec = placement.job.spec;
+        // Accelerator work and gangs are worth more than the small capacity that a CPU-only replica needs.
+        if (spec.isService()
+                && spec.request().gpus() == 0
+                && (victimSpec.request().gpus() > 0 || victimSpec.isGang())) {
             return false;
         }
-        if (v.priority().compareTo(s.priority()) < 0) {
+        if (victimSpec.priority().compareTo(spec.priority()) < 0) {
             return true;
         }
-        if (!due || v.team().equals(s.team())) {
+        if (!withinGuarantee || victimSpec.team().equals(spec.team())) {
             return false;
         }
-        Team other = cluster.team(v.team());
-        if (other == null || other.guaranteedGpus() <= 0 && other.guaranteedCpus() <= 0) {
+        Team victimTeam = cluster.team(victimSpec.team());
+        if (victimTeam == null || victimTeam.guaranteedGpus() <= 0 && victimTeam.guaranteedCpus() <= 0) {
             return false;
         }
-        Resources then = left.getOrDefault(v.team(), Resources.ZERO)
-                .minus(gone.getOrDefault(v.team(), Resources.ZERO))
-                .minus(goesWith(p));
-        return v.request().gpus() > 0 && other.guaranteedGpus() > 0
-                ? then.gpus() > other.guaranteedGpus() - 1e-6
-                : !other.isWithinGuarantee(then);
+        Resources victimTeamUsage = usageAfterStops
+                .getOrDefault(victimSpec.team(), Resources.ZERO)
+                .minus(freedByTeam.getOrDefault(victimSpec.team(), Resources.ZERO))
+                .minus(freedByStopping(placement));
+        return victimSpec.request().gpus() > 0 && victimTeam.guaranteedGpus() > 0
+                ? victimTeamUsage.gpus() > victimTeam.guaranteedGpus() - 1e-6
+                : !victimTeam.isWithinGuarantee(victimTeamUsage);
     }
 
-    /** Seconds of work that a stop would waste: all of it without checkpoints, the saving otherwise. */
-    private double loss(Placement p, double nowS) {
-        JobSpec s = p.job.spec;
-        double ran = Double.isNaN(p.runningSinceS) ? 0 : nowS - p.runningSinceS;
-        double share = s.request().gpus() > 0 ? s.request().gpus() : s.request().cpus() / 16;
-        if (s.isService()) {
+    /**
+     * Returns the cost of stopping a task in seconds of lost work, weighted by its accelerators, or by its CPUs in units of
+     * 16. With checkpoints only the time to save is lost, otherwise all work since the start, in either case with 5 s added.
+     * A task that should end within 5 s costs 20 s more. A replica always costs {@code REPLICA_LOSS_COST_S}.
+     */
+    private double stopCostS(Placement placement, double nowS) {
+        JobSpec spec = placement.job.spec;
+        double ranS = Double.isNaN(placement.runningSinceS) ? 0 : nowS - placement.runningSinceS;
+        double weight = spec.request().gpus() > 0
+                ? spec.request().gpus()
+                : spec.request().cpus() / 16;
+        if (spec.isService()) {
             return Constants.REPLICA_LOSS_COST_S;
         }
-        double left = Math.max(0, cluster.expectedRunS(p.job) - ran);
-        double waste = s.checkpointIntervalS() > 0 ? s.checkpointSaveS() + 5 : ran + 5;
-        return share * waste + (left < 5 ? 20 : 0);
+        double remainingS = Math.max(0, cluster.expectedRunS(placement.job) - ranS);
+        double wastedS = spec.checkpointIntervalS() > 0 ? spec.checkpointSaveS() + 5 : ranS + 5;
+        return weight * wastedS + (remainingS < 5 ? 20 : 0);
     }
 }
--- a/src/main/java/org/mountlug/core/preempt/package-info.java
+++ b/src/main/java/org/mountlug/core/preempt/package-info.java
@@ -1,2 +1,2 @@
-/** Preemption: which tasks stop to make room for others. */
+/** Preemption: selects tasks to stop so that other jobs get their capacity. */
 package org.mountlug.core.preempt;
