--- a/src/main/java/org/mountlug/core/lead/Election.java
+++ b/src/main/java/org/mountlug/core/lead/Election.java
@@ -3,12 +3,13 @@
 import org.mountlug.Constants;
 
 /**
- * Who may act for the controllers. A node leads while the leader key on its lease is its own; the key's revision is the
- * fencing token, which renewals leave alone and every new term raises. Calls say what happened; {@link #nextStep} says what
- * to do.
+ * State machine of the leader election. A controller leads while the leader key, which is bound to its lease in the state
+ * service, is its own. The revision of the key is the fencing token: renewals of the lease keep it, every new term raises
+ * it. The caller carries out the steps that {@link #nextStep} returns and reports their outcomes. All times are monotonic
+ * seconds.
  */
 public final class Election {
-    /** The one step to take now. */
+    /** A request to the state service that the caller has to send. */
     public enum Step {
         NONE,
         READ_LEADER_KEY,
@@ -20,105 +21,114 @@
 
     private final String label;
     private final String nonce;
-    private boolean busy;
+    private boolean stepPending;
     private boolean leading;
     private long token;
     private long leaseId;
     private double validUntilS = Double.NEGATIVE_INFINITY;
     private double lastRenewS;
-    private boolean keyFree;
+    private boolean leaderKeyFree;
     private double campaignAtS;
-    private double nextLookS;
+    private double nextKeyReadS;
     private String leaderLabel;
     private long leaderKeyRevision;
     private long oldLeaseId;
-    /** The leader's lease, 0 once given up for ended. */
+    /** Lease of the leader as last read; 0 if it is to be revoked because the leader's process has ended. */
     private long leaderLeaseId;
 
     private double resignedUntilS = Double.NEGATIVE_INFINITY;
 
-    /** @param nonce tells this process from an earlier one of the same label */
+    /**
+     * Creates the election state of a controller that does not lead.
+     *
+     * @param nonce distinguishes this process from earlier ones with the same label
+     */
     public Election(String label, String nonce) {
         this.label = label;
         this.nonce = nonce;
     }
 
-    /** Whether this controller holds the leader key as far as it knows. */
+    /** Whether this controller was elected and has not been deposed since; its leader lease may have ended unnoticed. */
     public boolean isLeading() {
         return leading;
     }
 
-    /** The fencing token of the current or last term. */
+    /** Returns the fencing token of this controller's current or last term, or 0 if it never led. */
     public long token() {
         return token;
     }
 
-    /** The lease that this controller has opened, 0 if none. */
+    /** Returns the lease that this controller has created, or 0 if there is none. */
     public long leaseId() {
         return leaseId;
     }
 
-    /** The lease that has to be dropped, 0 if none. */
+    /** Returns the lease that must be revoked before this controller campaigns, or 0 if there is none. */
     public long oldLeaseId() {
         return oldLeaseId;
     }
 
-    /** Tells this process from others of the same label. */
+    /** Returns the value that distinguishes this process from others with the same label. */
     public String nonce() {
         return nonce;
     }
 
-    /** The leader's label as last seen, or null. */
+    /** Returns the label of the leader as last seen, or null if none is known. */
     public String leaderLabel() {
         return leading ? label : leaderLabel;
     }
 
-    /** Whether the lease is proven to be ours at this time; without that nothing may be started. */
+    /** Whether this controller certainly holds the leader lease at the given time; otherwise it must not start tasks. */
     public boolean isLeaseHeld(double nowS) {
         return leading && nowS < validUntilS;
     }
 
-    /** The step to take now; its outcome has to be told before there is another. */
+    /** Returns the step to take now; returns {@code NONE} until the outcome of the last step has been reported. */
     public Step nextStep(double nowS) {
-        if (busy) {
+        if (stepPending) {
             return Step.NONE;
         }
         if (leading) {
             if (nowS - lastRenewS < Constants.LEADER_RENEW_INTERVAL_MS / 1000.0) {
                 return Step.NONE;
             }
-            return act(Step.RENEW_LEASE);
+            return startStep(Step.RENEW_LEASE);
         }
         if (oldLeaseId != 0) {
-            return act(Step.REVOKE_OLD_LEASE);
+            return startStep(Step.REVOKE_OLD_LEASE);
         }
-        if (keyFree && nowS >= campaignAtS) {
-            return act(leaseId == 0 ? Step.CREATE_LEASE : Step.CAMPAIGN);
+        if (leaderKeyFree && nowS >= campaignAtS) {
+            return startStep(leaseId == 0 ? Step.CREATE_LEASE : Step.CAMPAIGN);
         }
-        if (!keyFree && nowS >= nextLookS) {
-            nextLookS = nowS + Constants.LEADER_KEY_POLL_MS / 1000.0;
-            return act(Step.READ_LEADER_KEY);
+        if (!leaderKeyFree && nowS >= nextKeyReadS) {
+            nextKeyReadS = nowS + Constants.LEADER_KEY_POLL_MS / 1000.0;
+            return startStep(Step.READ_LEADER_KEY);
         }
         return Step.NONE;
     }
 
-    private Step act(Step s) {
-        busy = true;
-        return s;
+    private Step startStep(Step step) {
+        stepPending = true;
+        return step;
     }
 
-    /** The leader key was read; {@code who} null means there is none. {@code random} in [0,1). */
+    /**
+     * Records the leader key as it was read.
+     *
+     * @param currentLeader label in the key, or null if the key does not exist
+     * @param random random number in [0,1) that delays the next campaign
+     */
     public void onLeaderKeyRead(
             double nowS, String currentLeader, String leaderNonce, long currentLeaseId, long revision, double random) {
-        busy = false;
+        stepPending = false;
         if (leading) {
             return;
         }
         if (currentLeader == null) {
-            free(nowS, random);
+            markLeaderKeyFree(nowS, random);
             return;
         }
-        keyFree = false;
+        leaderKeyFree = false;
         leaderKeyRevision = revision;
         leaderLabel = currentLeader.equals(label) ? null : currentLeader;
         leaderLeaseId = currentLeaseId;
@@ -126,32 +136,37 @@
             return;
         }
         if (nonce.equals(leaderNonce) && currentLeaseId == leaseId) {
-            won(nowS, revision); // a campaign whose answer was lost
+            startTerm(nowS, revision); // a won campaign whose response was lost
         } else {
-            // An earlier process of this label is dead, or we would not run: no need to wait for its lease.
+            // The key is from an earlier process with this label, which must be dead if this one runs, or from a
+            // campaign that this process gave up: its lease is revoked rather than waited for.
             oldLeaseId = currentLeaseId;
         }
     }
 
-    /** The key was seen to vanish. */
+    /**
+     * Records that the leader key was deleted.
+     *
+     * @param random random number in [0,1) that delays the next campaign
+     */
     public void onLeaderKeyDeleted(double nowS, double random) {
         if (leading) {
             return;
         }
-        free(nowS, random);
+        markLeaderKeyFree(nowS, random);
     }
 
-    private void free(double nowS, double random) {
-        if (!keyFree) {
+    private void markLeaderKeyFree(double nowS, double random) {
+        if (!leaderKeyFree) {
             campaignAtS = Math.max(nowS + random * Constants.CAMPAIGN_JITTER_MS / 1000.0, resignedUntilS);
         }
-        keyFree = true;
+        leaderKeyFree = true;
         leaderLabel = null;
     }
 
     /**
-     * Gives up leading, as somebody else can do it better: the lease is dropped, so that the others need not wait for
-     * its end, and for a while the campaign is theirs.
+     * Ends this controller's term in favour of a peer: the lease is revoked, so that peers need not wait for its end, and
+     * this controller does not campaign for {@code RESIGNED_CAMPAIGN_PAUSE_S}.
      */
     public void resign(double nowS) {
         if (!leading) {
@@ -163,8 +178,9 @@
     }
 
     /**
-     * The leader's process has ended, by all that its peers can tell: its lease need not be waited for. Should it live
-     * after all, it is deposed like any other, as every transaction of its is guarded by the key that goes with the lease.
+     * Records that the leader's process has ended as far as its peers can tell, so that its lease is revoked rather than
+     * waited for. If the process still runs, it is deposed by its next transaction, since every transaction of a leader is
+     * guarded by the leader key, which is deleted with the lease.
      */
     public void onLeaderProcessEnded(String endedLabel) {
         if (leading || !endedLabel.equals(leaderLabel) || leaderLeaseId == 0) {
@@ -174,80 +190,97 @@
         leaderLeaseId = 0;
     }
 
-    /** A step got no usable answer. */
+    /**
+     * Records that a step got no usable response. A leader retries its renewal after 0.4 of the renewal interval; other
+     * controllers read the leader key again after the poll interval.
+     */
     public void onStepFailed(double nowS) {
-        busy = false;
+        stepPending = false;
         if (!leading) {
-            nextLookS = nowS + Constants.LEADER_KEY_POLL_MS / 1000.0;
-            keyFree = false;
+            nextKeyReadS = nowS + Constants.LEADER_KEY_POLL_MS / 1000.0;
+            leaderKeyFree = false;
             leaseId = 0;
         } else {
             lastRenewS = nowS - Constants.LEADER_RENEW_INTERVAL_MS / 1000.0 * 0.6;
         }
     }
 
-    /** The request to drop the old lease has been answered. */
+    /** Records that the request to revoke the old lease was answered. */
     public void onOldLeaseRevoked(double nowS) {
-        busy = false;
+        stepPending = false;
         oldLeaseId = 0;
-        nextLookS = nowS;
+        nextKeyReadS = nowS;
     }
 
-    /** A lease was opened by a request that was sent at {@code askedS}. */
+    /**
+     * Records that a lease was created.
+     *
+     * @param sentS time at which the request was sent
+     */
     public void onLeaseCreated(double sentS, long id) {
-        busy = false;
+        stepPending = false;
         leaseId = id;
         lastRenewS = sentS;
     }
 
-    /** A campaign was answered; {@code epoch} is the token if it was won. */
+    /**
+     * Records the outcome of a campaign.
+     *
+     * @param revision revision of the leader key if the campaign was won, which becomes the fencing token
+     */
     public void onCampaignResponse(double nowS, boolean success, long revision) {
-        busy = false;
+        stepPending = false;
         if (success) {
-            won(nowS, revision);
+            startTerm(nowS, revision);
         } else {
-            keyFree = false;
+            leaderKeyFree = false;
             leaseId = 0;
-            nextLookS = nowS;
+            nextKeyReadS = nowS;
         }
     }
 
-    private void won(double nowS, long stamp) {
+    private void startTerm(double nowS, long revision) {
         leading = true;
-        token = stamp;
-        keyFree = false;
-        // The lease was opened at lastRenewS or later, so its life is counted from there.
-        validUntilS = until(lastRenewS);
+        token = revision;
+        leaderKeyFree = false;
+        // The lease was created at lastRenewS or later, so its duration is counted from there.
+        validUntilS = leaseValidUntilS(lastRenewS);
     }
 
-    private double until(double sentS) {
+    /** Returns the time until which a lease requested at {@code sentS} is certainly held, given clock drift and a margin. */
+    private double leaseValidUntilS(double sentS) {
         return sentS + Constants.LEADER_LEASE_MS / 1000.0 * (1 - Constants.MAX_CLOCK_DRIFT) - Constants.TIMING_MARGIN_S;
     }
 
-    /** A renewal was answered; {@code askedS} is when it was sent, the earliest moment from which it counts. */
+    /**
+     * Records the outcome of a renewal.
+     *
+     * @param sentS time at which the request was sent, from which the renewed lease is counted
+     * @param alive whether the lease still existed
+     */
     public void onRenewalResponse(double sentS, boolean alive) {
-        busy = false;
+        stepPending = false;
         if (!leading) {
             return;
         }
         if (alive) {
             lastRenewS = sentS;
-            validUntilS = until(sentS);
+            validUntilS = leaseValidUntilS(sentS);
         } else {
             depose();
         }
     }
 
-    /** A guarded transaction failed on the leader key, the lease ended, or a worker knows a higher token. */
+    /** Ends this controller's term: a transaction failed on the leader key, the lease ended or a worker has a higher token. */
     public void depose() {
         leading = false;
         leaseId = 0;
-        keyFree = false;
+        leaderKeyFree = false;
         leaderLabel = null;
-        nextLookS = 0;
+        nextKeyReadS = 0;
     }
 
-    /** The revision of another controller's leader key, as last read. */
+    /** Returns the revision of another controller's leader key as last read. */
     public long leaderKeyRevision() {
         return leaderKeyRevision;
     }
--- a/src/main/java/org/mountlug/core/lead/package-info.java
+++ b/src/main/java/org/mountlug/core/lead/package-info.java
@@ -1,2 +1,2 @@
-/** The election of one leader by a key on a lease. */
+/** Election of one leader by a key that is bound to a lease in the state service. */
 package org.mountlug.core.lead;
--- a/src/main/java/org/mountlug/core/package-info.java
+++ b/src/main/java/org/mountlug/core/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions without input or output: time and randomness come in as arguments, decisions go out as values. */
+/** Scheduling decisions without I/O: time and random numbers come in as arguments, decisions go out as values. */
 package org.mountlug.core;
