--- a/src/main/java/org/mountlug/core/allocate/Allocator.java
+++ b/src/main/java/org/mountlug/core/allocate/Allocator.java
@@ -67,8 +67,8 @@
             }
         }
         gangMachineHolds.releaseUnneeded();
-        List<Job> pipelined = new ArrayList<>();
-        List<Job> pending = new ArrayList<>();
+        List<Job> jobsWithReservations = new ArrayList<>();
+        List<Job> jobsWithoutReservations = new ArrayList<>();
         for (Job job : round.cluster.jobs.values()) {
             // A gang is placed as a whole, so it waits until no task of an earlier attempt is left.
             boolean placeable = !job.spec.isGang() || job.placements.isEmpty();
@@ -76,22 +76,23 @@
                 round.releaseReservations(job);
                 continue;
             }
-            (round.cluster.reservations.containsKey(job.spec.id()) ? pipelined : pending).add(job);
+            (round.cluster.reservations.containsKey(job.spec.id()) ? jobsWithReservations : jobsWithoutReservations)
+                    .add(job);
         }
-        placeInQueueOrder(pipelined);
-        placeInQueueOrder(pending);
+        placeInQueueOrder(jobsWithReservations);
+        placeInQueueOrder(jobsWithoutReservations);
         round.cluster.serviceWaiting = false;
-        for (Job job : pending) {
+        for (Job job : jobsWithoutReservations) {
             round.cluster.serviceWaiting |= job.spec.isService() && job.pendingTaskCount() > 0;
         }
-        gangMachineHolds.holdMachines(pending);
-        placeOverflow(pending);
-        for (Job job : pending) {
+        gangMachineHolds.holdMachines(jobsWithoutReservations);
+        placeOverflow(jobsWithoutReservations);
+        for (Job job : jobsWithoutReservations) {
             if (!job.spec.isGang() && job.pendingTaskCount() > 0 && packsPoorly(job)) {
                 arrayPlacer.place(job, false);
             }
         }
-        arrayPlacer.placeOnStandby(pending);
+        arrayPlacer.placeOnStandby(jobsWithoutReservations);
         return round.placedCount();
     }
 
--- a/src/main/java/org/mountlug/core/preempt/Preemptor.java
+++ b/src/main/java/org/mountlug/core/preempt/Preemptor.java
@@ -302,10 +302,9 @@
 
     /**
      * Whether a task may be stopped for a job. A task of a lower priority may be. Otherwise the job's team must stay within
-     * its guarantee, and the stop must leave the victim's team its own, a gang being counted as a whole: for
-     * accelerator tasks of a team with guaranteed accelerators it must still use at least these, for other tasks still more
-     * than its guarantee. Without this rule two teams would stop each other's gangs in turn for as long as both have some
-     * waiting.
+     * its guarantee, and the victim's team must have one and keep it. After the stop, which ends a gang as a whole, that
+     * team must still use at least its guaranteed accelerators if it has any and the victim uses accelerators, else more
+     * than its guarantee. Without this rule two teams would stop each other's gangs in turn while both have some waiting.
      *
      * @param usageAfterStops resources that each team would use without stopping tasks and the plan's victims
      * @param freedByTeam resources that further victims on the same machine would free
--- a/src/test/java/org/mountlug/core/AllocatorTest.java
+++ b/src/test/java/org/mountlug/core/AllocatorTest.java
@@ -23,200 +23,208 @@
 import org.mountlug.core.model.Resources;
 import org.mountlug.core.model.Team;
 
-/** The design's round: ready, pipelined or discarded; reservations that last; limits and zones. */
+/** Tests allocation rounds: starting, reserving or skipping gangs, and the limits of teams, zones and machines. */
 class AllocatorTest {
     private static final Resources WHOLE_GPU = new Resources(20, 2, 60);
 
-    private static int round(Cluster c, double now) {
+    private static int runRound(Cluster cluster, double nowS) {
         return new Allocator(
-                        c,
-                        Fixtures.untrackedZones(c),
-                        j -> j.spec.submittedMs(),
-                        new ReplicaStartTimes(j -> 8, now),
-                        now)
+                        cluster,
+                        Fixtures.untrackedZones(cluster),
+                        job -> job.spec.submittedMs(),
+                        new ReplicaStartTimes(job -> 8, nowS),
+                        nowS)
                 .allocate();
     }
 
     @Test
-    void aReadyGangStartsWhole() {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", "gpu", "a");
-        Fixtures.addMachine(c, "n-2", "gpu", "a");
-        Job g = Fixtures.addJob(c, Fixtures.spec("wk-000001", true, 2, WHOLE_GPU, Priority.HIGH));
-        assertEquals(2, round(c, 1));
+    void fittingGangStartsAllTasksInOneAttempt() {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", "gpu", "a");
+        Fixtures.addMachine(cluster, "n-2", "gpu", "a");
+        Job gang = Fixtures.addJob(cluster, Fixtures.spec("wk-000001", true, 2, WHOLE_GPU, Priority.HIGH));
+        assertEquals(2, runRound(cluster, 1));
         assertEquals(
-                1, g.placements.values().stream().map(p -> p.attempt).distinct().count());
+                1,
+                gang.placements.values().stream().map(p -> p.attempt).distinct().count());
     }
 
     /**
-     * What found no room says nothing of jobs under other rules: work without accelerators gets a part of their machines
-     * only, other zones and overflowing work have room of their own, and less may still fit.
+     * A request that fitted nowhere must not keep a different job from being tried: one that uses accelerators, is smaller
+     * or may run in another zone.
      */
     @ParameterizedTest(name = "{0}")
-    @CsvSource({"accelerators, 2, 1", "smaller, 1, 0", "other zone, 2, 0", "the same, 2, 0"})
-    void aRefusalHoldsForTheLikeAlone(String second, double cpus, double gpus) {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", "gpu", "a");
-        Fixtures.addMachine(c, "n-2", "small", "a");
-        Fixtures.addJob(c, Fixtures.spec("wk-000001", false, 1, new Resources(3, 0, 1), Priority.PROD));
-        assertEquals(1, round(c, 1));
-        // Two tasks of whole accelerators leave a gpu machine's rest to nobody without one.
-        Fixtures.addJob(c, Fixtures.spec("wk-000002", false, 1, new Resources(2, 0, 1), Priority.HIGH));
-        if (second.equals("other zone")) {
-            Fixtures.addMachine(c, "n-3", "small", "b");
+    @CsvSource({"uses an accelerator, 2, 1", "smaller request, 1, 0", "other zone, 2, 0", "same request, 2, 0"})
+    void unplaceableRequestBlocksOnlyLikeJobs(String difference, double cpus, double gpus) {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", "gpu", "a");
+        Fixtures.addMachine(cluster, "n-2", "small", "a");
+        Fixtures.addJob(cluster, Fixtures.spec("wk-000001", false, 1, new Resources(3, 0, 1), Priority.PROD));
+        assertEquals(1, runRound(cluster, 1));
+        // Both accelerators of machine n-1 are free, so all its CPUs are kept from CPU-only tasks.
+        Fixtures.addJob(cluster, Fixtures.spec("wk-000002", false, 1, new Resources(2, 0, 1), Priority.HIGH));
+        if (difference.equals("other zone")) {
+            Fixtures.addMachine(cluster, "n-3", "small", "b");
         }
-        Job job = Fixtures.addJob(c, Fixtures.spec("wk-000003", false, 1, new Resources(cpus, gpus, 1), Priority.IDLE));
-        round(c, 2);
-        assertEquals(second.equals("the same") ? 0 : 1, job.placements.size());
+        Job job = Fixtures.addJob(
+                cluster, Fixtures.spec("wk-000003", false, 1, new Resources(cpus, gpus, 1), Priority.IDLE));
+        runRound(cluster, 2);
+        assertEquals(difference.equals("same request") ? 0 : 1, job.placements.size());
     }
 
     @Test
-    void aGangThatFitsNeitherNowNorSoonLeavesNoTrace() {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", "gpu", "a");
-        Fixtures.addJob(c, Fixtures.spec("wk-000001", true, 2, WHOLE_GPU, Priority.HIGH));
-        Job small = Fixtures.addJob(c, Fixtures.spec("wk-000002", false, 1, WHOLE_GPU, Priority.IDLE));
-        assertEquals(1, round(c, 1));
-        assertEquals(1, small.placements.size());
-        assertTrue(c.reservations.isEmpty());
+    void gangThatFitsNeitherNowNorLaterReservesNothing() {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", "gpu", "a");
+        Fixtures.addJob(cluster, Fixtures.spec("wk-000001", true, 2, WHOLE_GPU, Priority.HIGH));
+        Job array = Fixtures.addJob(cluster, Fixtures.spec("wk-000002", false, 1, WHOLE_GPU, Priority.IDLE));
+        assertEquals(1, runRound(cluster, 1));
+        assertEquals(1, array.placements.size());
+        assertTrue(cluster.reservations.isEmpty());
     }
 
+    /** A gang that waits for releasing capacity must not lose the free capacity that some of its tasks found. */
     @Test
-    void aPipelinedGangKeepsIdleRoomAndGoesFirstWhenTheRestComesFree() {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", "gpu", "a");
-        Fixtures.addMachine(c, "n-2", "gpu", "a");
-        Job old = Fixtures.addJob(c, Fixtures.spec("wk-000001", false, 1, WHOLE_GPU, Priority.IDLE));
-        assertEquals(1, round(c, 1));
-        Placement p = old.placements.get(0);
-        p.requestStop(4);
-        Job g = Fixtures.addJob(c, Fixtures.spec("wk-000002", true, 2, WHOLE_GPU, Priority.STANDARD));
-        Job rival = Fixtures.addJob(c, Fixtures.spec("wk-000003", false, 1, WHOLE_GPU, Priority.PROD));
-        // The rival comes later: what the gang has reserved is not taken, not even by a higher priority.
-        c.jobs.remove("wk-000003");
-        assertEquals(0, round(c, 2));
-        assertEquals(2, c.reservations.get("wk-000002").size());
-        c.jobs.put("wk-000003", rival);
-        assertEquals(0, round(c, 3));
-        assertEquals(2, c.reservations.get("wk-000002").size());
-        c.machines.get(p.machine).placements.remove(p.taskName());
-        old.placements.clear();
-        c.jobs.remove("wk-000001");
-        assertEquals(2, round(c, 4));
-        assertEquals(2, g.placements.size());
-        assertTrue(c.reservations.isEmpty());
+    void gangKeepsReservedFreeCapacityUntilTheRestIsReleased() {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", "gpu", "a");
+        Fixtures.addMachine(cluster, "n-2", "gpu", "a");
+        Job runningJob = Fixtures.addJob(cluster, Fixtures.spec("wk-000001", false, 1, WHOLE_GPU, Priority.IDLE));
+        assertEquals(1, runRound(cluster, 1));
+        Placement stoppingPlacement = runningJob.placements.get(0);
+        stoppingPlacement.requestStop(4);
+        Job gang = Fixtures.addJob(cluster, Fixtures.spec("wk-000002", true, 2, WHOLE_GPU, Priority.STANDARD));
+        Job rivalJob = Fixtures.addJob(cluster, Fixtures.spec("wk-000003", false, 1, WHOLE_GPU, Priority.PROD));
+        // The rival job is added after the gang's reservation and must not get it, despite its higher priority.
+        cluster.jobs.remove("wk-000003");
+        assertEquals(0, runRound(cluster, 2));
+        assertEquals(2, cluster.reservations.get("wk-000002").size());
+        cluster.jobs.put("wk-000003", rivalJob);
+        assertEquals(0, runRound(cluster, 3));
+        assertEquals(2, cluster.reservations.get("wk-000002").size());
+        cluster.machines.get(stoppingPlacement.machine).placements.remove(stoppingPlacement.taskName());
+        runningJob.placements.clear();
+        cluster.jobs.remove("wk-000001");
+        assertEquals(2, runRound(cluster, 4));
+        assertEquals(2, gang.placements.size());
+        assertTrue(cluster.reservations.isEmpty());
     }
 
     @Test
-    void aReservationOnALostMachineIsDroppedAndScannedAgain() {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-2", "gpu", "a");
-        Job g = Fixtures.addJob(c, Fixtures.spec("wk-000001", true, 1, WHOLE_GPU, Priority.HIGH));
-        c.reservations.put("wk-000001", List.of(new Reservation(0, "n-9")));
-        assertEquals(1, round(c, 1));
-        assertEquals("n-2", g.placements.get(0).machine);
+    void reservationOnAMissingMachineIsReplaced() {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-2", "gpu", "a");
+        Job gang = Fixtures.addJob(cluster, Fixtures.spec("wk-000001", true, 1, WHOLE_GPU, Priority.HIGH));
+        cluster.reservations.put("wk-000001", List.of(new Reservation(0, "n-9")));
+        assertEquals(1, runRound(cluster, 1));
+        assertEquals("n-2", gang.placements.get(0).machine);
     }
 
-    @ParameterizedTest(name = "{0}: oneZone {1}, apart {2} -> {3} of 5 placed")
-    @CsvSource({"none, false, false, 5", "one zone, true, false, 4", "apart, false, true, 4"})
-    void zonesOfAnArray(String name, boolean one, boolean apart, int placed) {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", "small", "a");
-        Fixtures.addMachine(c, "n-2", "small", "a");
-        Fixtures.addMachine(c, "n-3", "small", "b");
-        Job j = Fixtures.addJob(c, Fixtures.withZoneRules(Fixtures.array("wk-000001", 5), one, apart));
-        // "apart" allows three of five in one zone; zone b has room for two, of which one machine gives two.
-        int n = round(c, 1);
-        assertEquals(apart ? 5 : placed, n);
-        if (apart) {
-            assertTrue(j.placedTasksIn("a") <= 3);
+    @ParameterizedTest(name = "{0}: oneZone {1}, spreadAcrossZones {2}")
+    @CsvSource({"no zone rule, false, false, 5", "one zone, true, false, 4", "spread across zones, false, true, 4"})
+    void arrayFollowsItsZoneRules(String name, boolean oneZone, boolean spreadAcrossZones, int placed) {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", "small", "a");
+        Fixtures.addMachine(cluster, "n-2", "small", "a");
+        Fixtures.addMachine(cluster, "n-3", "small", "b");
+        Job job = Fixtures.addJob(
+                cluster, Fixtures.withZoneRules(Fixtures.array("wk-000001", 5), oneZone, spreadAcrossZones));
+        // Each machine holds two tasks. When spread, three of five may be in one zone, so all five fit.
+        int placedCount = runRound(cluster, 1);
+        assertEquals(spreadAcrossZones ? 5 : placed, placedCount);
+        if (spreadAcrossZones) {
+            assertTrue(job.placedTasksIn("a") <= 3);
         }
-        if (one) {
+        if (oneZone) {
             assertEquals(
                     1,
-                    j.placements.values().stream().map(p -> p.zone).distinct().count());
+                    job.placements.values().stream().map(p -> p.zone).distinct().count());
         }
     }
 
     @Test
-    void aTeamsLimitCountsEverythingNotProvenGone() {
-        Cluster c = Fixtures.cluster(new Team("t", 0, 4, 0, 0, 1));
+    void teamLimitCountsAttemptsThatMayStillRun() {
+        Cluster cluster = Fixtures.cluster(new Team("t", 0, 4, 0, 0, 1));
         for (int i = 1; i <= 3; i++) {
-            Fixtures.addMachine(c, "n-" + i, "small", "a");
+            Fixtures.addMachine(cluster, "n-" + i, "small", "a");
         }
-        Job j = Fixtures.addJob(c, Fixtures.array("wk-000001", 6));
-        assertEquals(2, round(c, 1));
-        c.machines.get(j.placements.get(0).machine).tokenConfirmed = false; // silent, perhaps still running
-        assertEquals(0, round(c, 2));
+        Job job = Fixtures.addJob(cluster, Fixtures.array("wk-000001", 6));
+        assertEquals(2, runRound(cluster, 1));
+        // Without a report in this term the machine's tasks may still run.
+        cluster.machines.get(job.placements.get(0).machine).tokenConfirmed = false;
+        assertEquals(0, runRound(cluster, 2));
     }
 
+    /** An array bound to one zone must not start in another one while attempts may still run in the first. */
     @Test
-    void oldAttemptsKeepTheirZoneAndAreNotStartedAgain() {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", "small", "a");
-        Job j = Fixtures.addJob(c, Fixtures.withZoneRules(Fixtures.array("wk-000001", 3), true, false));
-        assertEquals(2, round(c, 1));
-        c.machines.get("n-1").tokenConfirmed = false;
-        Fixtures.addMachine(c, "n-2", "small", "b");
-        assertEquals(0, round(c, 2));
-        assertEquals(2, j.placements.size());
+    void attemptsThatMayStillRunKeepTheirZoneAndAreNotRepeated() {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", "small", "a");
+        Job job = Fixtures.addJob(cluster, Fixtures.withZoneRules(Fixtures.array("wk-000001", 3), true, false));
+        assertEquals(2, runRound(cluster, 1));
+        cluster.machines.get("n-1").tokenConfirmed = false;
+        Fixtures.addMachine(cluster, "n-2", "small", "b");
+        assertEquals(0, runRound(cluster, 2));
+        assertEquals(2, job.placements.size());
     }
 
-    /** Replicas apart by zone and by machine, counting what is not proven gone; quota likewise. */
+    /** The spread over zones and machines and the team's limit must count replicas that may still run on a silent machine. */
     @ParameterizedTest(name = "silent machine {0}, team''s limit {1} CPUs: {2} placed")
     @CsvSource({", 0, 3", "n-1, 0, 3", "n-3, 0, 2", ", 8, 1"})
-    void replicasAreSpread(String silent, double limit, int placed) {
-        Cluster c = Fixtures.cluster(new Team("t", 0, limit, 0, 0, 1));
+    void replicasAreSpreadOverZonesAndMachines(String silentMachine, double maxCpus, int placed) {
+        Cluster cluster = Fixtures.cluster(new Team("t", 0, maxCpus, 0, 0, 1));
         for (int i = 1; i <= 4; i++) {
-            Fixtures.addMachine(c, "n-" + i, "small", i < 3 ? "a" : "b");
+            Fixtures.addMachine(cluster, "n-" + i, "small", i < 3 ? "a" : "b");
         }
-        JobSpec s = Fixtures.withZoneRules(
+        JobSpec spec = Fixtures.withZoneRules(
                 Fixtures.spec("wk-000001", JobType.SERVICE, 6, new Resources(2, 0, 8), Priority.PROD), false, true);
-        Job j = Fixtures.addJob(c, s);
-        for (int t = 0; t < 3; t++) {
-            c.place(j, t, 1, c.machines.get(t < 2 ? "n-1" : "n-2"), 0);
+        Job job = Fixtures.addJob(cluster, spec);
+        for (int replica = 0; replica < 3; replica++) {
+            cluster.place(job, replica, 1, cluster.machines.get(replica < 2 ? "n-1" : "n-2"), 0);
         }
-        if (silent != null) {
-            c.machines.get(silent).tokenConfirmed = false;
+        if (silentMachine != null) {
+            cluster.machines.get(silentMachine).tokenConfirmed = false;
         }
-        assertEquals(placed, round(c, 1));
-        assertTrue(j.placedTasksIn("a") <= 3 && j.placedTasksIn("b") <= 3);
-        for (Machine m : c.machines.values()) {
-            assertTrue(m.placements.size() <= 2);
+        assertEquals(placed, runRound(cluster, 1));
+        assertTrue(job.placedTasksIn("a") <= 3 && job.placedTasksIn("b") <= 3);
+        for (Machine machine : cluster.machines.values()) {
+            assertTrue(machine.placements.size() <= 2);
         }
     }
 
-    /** Beside accelerator work a replica takes only what no such work could use, however empty the machine is. */
-    @ParameterizedTest(name = "accelerator work of {0} CPUs: room for {1} replicas")
+    /** Replicas must leave the CPUs that accelerator work needs on an accelerator machine, even while the machine is empty. */
+    @ParameterizedTest(name = "accelerator tasks with {0} CPUs: {1} replicas placed")
     @CsvSource({"21, 3", "24, 0", "0, 0"})
-    void replicasLeaveAcceleratorsTheirCompanions(double cpus, int room) {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", "gpu", "a");
-        if (cpus > 0) {
-            Fixtures.addJob(c, Fixtures.spec("wk-000001", true, 2, new Resources(cpus, 2, 77), Priority.HIGH));
+    void replicasLeaveTheCpusThatAcceleratorWorkNeeds(double acceleratorTaskCpus, int placed) {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", "gpu", "a");
+        if (acceleratorTaskCpus > 0) {
+            Fixtures.addJob(
+                    cluster,
+                    Fixtures.spec("wk-000001", true, 2, new Resources(acceleratorTaskCpus, 2, 77), Priority.HIGH));
         }
-        Job j = Fixtures.addJob(
-                c, Fixtures.spec("wk-000002", JobType.SERVICE, 6, new Resources(1, 0, 2), Priority.PROD));
-        round(c, 5);
-        assertEquals(room, j.placements.size());
+        Job job = Fixtures.addJob(
+                cluster, Fixtures.spec("wk-000002", JobType.SERVICE, 6, new Resources(1, 0, 2), Priority.PROD));
+        runRound(cluster, 5);
+        assertEquals(placed, job.placements.size());
     }
 
     @Test
-    void teamsAreServedInTurn() {
-        Cluster c = Fixtures.cluster(new Team("t", 0, 0, 0, 0, 1), new Team("u", 0, 0, 0, 0, 1));
-        Fixtures.addMachine(c, "n-1", "small", "a");
-        Fixtures.addJob(c, Fixtures.array("wk-000001", 1));
-        Fixtures.addJob(c, Fixtures.array("wk-000002", 1));
-        var s = Fixtures.array("wk-000003", 1);
-        Job u = Fixtures.addJob(
-                c,
+    void teamsTakeTurns() {
+        Cluster cluster = Fixtures.cluster(new Team("t", 0, 0, 0, 0, 1), new Team("u", 0, 0, 0, 0, 1));
+        Fixtures.addMachine(cluster, "n-1", "small", "a");
+        Fixtures.addJob(cluster, Fixtures.array("wk-000001", 1));
+        Fixtures.addJob(cluster, Fixtures.array("wk-000002", 1));
+        var spec = Fixtures.array("wk-000003", 1);
+        Job jobOfOtherTeam = Fixtures.addJob(
+                cluster,
                 new JobSpecBuilder("wk-000003")
                         .team("u")
-                        .request(s.request())
-                        .priority(s.priority())
+                        .request(spec.request())
+                        .priority(spec.priority())
                         .submittedMs(99)
                         .build());
-        assertEquals(2, round(c, 1));
-        assertFalse(u.placements.isEmpty());
+        assertEquals(2, runRound(cluster, 1));
+        assertFalse(jobOfOtherTeam.placements.isEmpty());
     }
 }
--- a/src/test/java/org/mountlug/core/ElectionTest.java
+++ b/src/test/java/org/mountlug/core/ElectionTest.java
@@ -7,102 +7,105 @@
 import org.junit.jupiter.api.Test;
 import org.mountlug.core.lead.Election;
 
-/** Terms: who leads, with which token, and for how long that is proven. */
+/** Tests the leader election: when a controller leads, with which token, and how long it certainly holds its lease. */
 class ElectionTest {
-    private final Election e = new Election("x", "n1");
+    private final Election election = new Election("x", "n1");
 
-    private void win(double now, long epoch) {
-        assertEquals(Election.Step.READ_LEADER_KEY, e.nextStep(now));
-        e.onLeaderKeyRead(now, null, null, 0, 0, 0);
-        assertEquals(Election.Step.CREATE_LEASE, e.nextStep(now));
-        e.onLeaseCreated(now, 5);
-        assertEquals(Election.Step.CAMPAIGN, e.nextStep(now));
-        e.onCampaignResponse(now, true, epoch);
+    private void winElection(double nowS, long token) {
+        assertEquals(Election.Step.READ_LEADER_KEY, election.nextStep(nowS));
+        election.onLeaderKeyRead(nowS, null, null, 0, 0, 0);
+        assertEquals(Election.Step.CREATE_LEASE, election.nextStep(nowS));
+        election.onLeaseCreated(nowS, 5);
+        assertEquals(Election.Step.CAMPAIGN, election.nextStep(nowS));
+        election.onCampaignResponse(nowS, true, token);
     }
 
     @Test
-    void theTokenIsTheRevisionOfTheKey() {
-        win(1, 42);
-        assertTrue(e.isLeading());
-        assertEquals(42, e.token());
+    void tokenIsTheRevisionOfTheLeaderKey() {
+        winElection(1, 42);
+        assertTrue(election.isLeading());
+        assertEquals(42, election.token());
     }
 
+    /** The lease may have been renewed at any time after the request was sent, so its duration counts from the sending. */
     @Test
-    void aHoldIsProvenOnlyFromWhenItsRenewalWasAsked() {
-        win(1, 42);
-        assertTrue(e.isLeaseHeld(4));
-        assertFalse(e.isLeaseHeld(5));
-        assertEquals(Election.Step.RENEW_LEASE, e.nextStep(4));
-        e.onRenewalResponse(4, true);
-        assertTrue(e.isLeaseHeld(7));
-        assertFalse(e.isLeaseHeld(8));
+    void leaseIsHeldFromTheTimeWhenItsRenewalWasSent() {
+        winElection(1, 42);
+        assertTrue(election.isLeaseHeld(4));
+        assertFalse(election.isLeaseHeld(5));
+        assertEquals(Election.Step.RENEW_LEASE, election.nextStep(4));
+        election.onRenewalResponse(4, true);
+        assertTrue(election.isLeaseHeld(7));
+        assertFalse(election.isLeaseHeld(8));
     }
 
     @Test
-    void anEndedHoldDeposes() {
-        win(1, 42);
-        e.nextStep(4);
-        e.onRenewalResponse(4, false);
-        assertFalse(e.isLeading());
+    void leaderWhoseLeaseEndedIsDeposed() {
+        winElection(1, 42);
+        election.nextStep(4);
+        election.onRenewalResponse(4, false);
+        assertFalse(election.isLeading());
     }
 
+    /** The campaign's write may have succeeded, so the key is read again; its lease is given up and revoked. */
     @Test
-    void aCampaignWhoseAnswerWasLostIsNotWonBlindly() {
-        e.nextStep(1);
-        e.onLeaderKeyRead(1, null, null, 0, 0, 0);
-        e.nextStep(1);
-        e.onLeaseCreated(1, 5);
-        e.nextStep(1);
-        e.onStepFailed(2);
-        assertFalse(e.isLeading());
-        assertEquals(Election.Step.READ_LEADER_KEY, e.nextStep(3));
-        e.onLeaderKeyRead(3, "x", "n1", 5, 42, 0);
-        assertFalse(e.isLeading());
-        assertEquals(Election.Step.REVOKE_OLD_LEASE, e.nextStep(3));
+    void campaignWithoutResponseIsNotWonAndItsLeaseIsRevoked() {
+        election.nextStep(1);
+        election.onLeaderKeyRead(1, null, null, 0, 0, 0);
+        election.nextStep(1);
+        election.onLeaseCreated(1, 5);
+        election.nextStep(1);
+        election.onStepFailed(2);
+        assertFalse(election.isLeading());
+        assertEquals(Election.Step.READ_LEADER_KEY, election.nextStep(3));
+        election.onLeaderKeyRead(3, "x", "n1", 5, 42, 0);
+        assertFalse(election.isLeading());
+        assertEquals(Election.Step.REVOKE_OLD_LEASE, election.nextStep(3));
     }
 
+    /** An earlier process with the same label is dead, so its lease is revoked rather than waited for. */
     @Test
-    void anEarlierProcessOfThisNodeIsDead() {
-        e.nextStep(1);
-        e.onLeaderKeyRead(1, "x", "n0", 3, 40, 0);
-        assertEquals(Election.Step.REVOKE_OLD_LEASE, e.nextStep(1));
-        e.onOldLeaseRevoked(1.1);
-        assertEquals(Election.Step.READ_LEADER_KEY, e.nextStep(1.2));
+    void leaseOfAnEarlierProcessWithTheSameLabelIsRevoked() {
+        election.nextStep(1);
+        election.onLeaderKeyRead(1, "x", "n0", 3, 40, 0);
+        assertEquals(Election.Step.REVOKE_OLD_LEASE, election.nextStep(1));
+        election.onOldLeaseRevoked(1.1);
+        assertEquals(Election.Step.READ_LEADER_KEY, election.nextStep(1.2));
     }
 
     @Test
-    void theHoldOfALeaderThatHasEndedIsGivenUpOnce() {
-        e.nextStep(1);
-        e.onLeaderKeyRead(1, "y", "n9", 3, 40, 0);
-        e.onLeaderProcessEnded("z");
-        assertEquals(Election.Step.NONE, e.nextStep(1.1));
-        e.onLeaderProcessEnded("y");
-        assertEquals(Election.Step.REVOKE_OLD_LEASE, e.nextStep(1.1));
-        assertEquals(3, e.oldLeaseId());
-        e.onOldLeaseRevoked(1.2);
-        e.onLeaderProcessEnded("y");
-        assertEquals(Election.Step.READ_LEADER_KEY, e.nextStep(1.2));
+    void leaseOfAnEndedLeaderIsRevokedOnce() {
+        election.nextStep(1);
+        election.onLeaderKeyRead(1, "y", "n9", 3, 40, 0);
+        election.onLeaderProcessEnded("z");
+        assertEquals(Election.Step.NONE, election.nextStep(1.1));
+        election.onLeaderProcessEnded("y");
+        assertEquals(Election.Step.REVOKE_OLD_LEASE, election.nextStep(1.1));
+        assertEquals(3, election.oldLeaseId());
+        election.onOldLeaseRevoked(1.2);
+        election.onLeaderProcessEnded("y");
+        assertEquals(Election.Step.READ_LEADER_KEY, election.nextStep(1.2));
     }
 
-    /** Who gives up drops the hold at once, and comes back only if nobody else has led meanwhile. */
+    /** A leader that resigns revokes its lease at once and campaigns again only after a pause, so that a peer can win. */
     @Test
-    void whoResignsLeavesTheCampaignToTheOthersForAWhile() {
-        win(1, 42);
-        e.resign(20);
-        assertFalse(e.isLeading());
-        assertEquals(Election.Step.REVOKE_OLD_LEASE, e.nextStep(20));
-        e.onOldLeaseRevoked(20.1);
-        assertEquals(Election.Step.READ_LEADER_KEY, e.nextStep(20.1));
-        e.onLeaderKeyRead(20.1, null, null, 0, 0, 0);
-        assertEquals(Election.Step.NONE, e.nextStep(29.9));
-        assertEquals(Election.Step.CREATE_LEASE, e.nextStep(30));
+    void resignedLeaderPausesBeforeItsNextCampaign() {
+        winElection(1, 42);
+        election.resign(20);
+        assertFalse(election.isLeading());
+        assertEquals(Election.Step.REVOKE_OLD_LEASE, election.nextStep(20));
+        election.onOldLeaseRevoked(20.1);
+        assertEquals(Election.Step.READ_LEADER_KEY, election.nextStep(20.1));
+        election.onLeaderKeyRead(20.1, null, null, 0, 0, 0);
+        assertEquals(Election.Step.NONE, election.nextStep(29.9));
+        assertEquals(Election.Step.CREATE_LEASE, election.nextStep(30));
     }
 
     @Test
-    void anotherLeaderIsFollowed() {
-        e.nextStep(1);
-        e.onLeaderKeyRead(1, "y", "n9", 3, 40, 0);
-        assertEquals("y", e.leaderLabel());
-        assertEquals(Election.Step.NONE, e.nextStep(1.1));
+    void followerKnowsTheLeadersLabel() {
+        election.nextStep(1);
+        election.onLeaderKeyRead(1, "y", "n9", 3, 40, 0);
+        assertEquals("y", election.leaderLabel());
+        assertEquals(Election.Step.NONE, election.nextStep(1.1));
     }
 }
--- a/src/test/java/org/mountlug/core/PreemptorTest.java
+++ b/src/test/java/org/mountlug/core/PreemptorTest.java
@@ -19,114 +19,164 @@
 import org.mountlug.core.model.Team;
 import org.mountlug.core.preempt.Preemptor;
 
-/** Who may be stopped for whom: a higher priority, or a team's guarantee at the cost of what is beyond another's. */
+/** Tests which tasks are stopped for others: those of a lower priority, or those of a team above its guarantee. */
 class PreemptorTest {
-    private static JobSpec of(String id, String team, Priority u) {
-        JobSpec s = Fixtures.spec(id, true, 1, new Resources(20, 2, 60), u);
+    private static JobSpec gangSpec(String id, String team, Priority priority) {
+        JobSpec spec = Fixtures.spec(id, true, 1, new Resources(20, 2, 60), priority);
         return new JobSpecBuilder(id)
                 .team(team)
                 .jobType(JobType.GANG)
-                .priority(u)
-                .request(s.request())
+                .priority(priority)
+                .request(spec.request())
                 .build();
     }
 
-    @ParameterizedTest(name = "{0} of t, guaranteed {1} GPUs, over {5} of {2} of u, guaranteed {3}: stopped {4}")
+    @ParameterizedTest(
+            name = "{0} gang of t ({1} GPUs guaranteed), {5} running {2} gangs of u ({3} guaranteed): one stopped {4}")
     @CsvSource({
         "HIGH, 0, STANDARD, 0, true, 1",
         "STANDARD, 0, STANDARD, 0, false, 1",
         "STANDARD, 0, HIGH, 0, false, 1",
-        "IDLE, 4, HIGH, 1, true, 2", // t below its guarantee, u beyond its own even afterwards
+        "IDLE, 4, HIGH, 1, true, 2", // t is below its guarantee, and u still has its own after the stop
         "IDLE, 4, HIGH, 1, false, 1", // u would fall below its own
-        "STANDARD, 4, HIGH, 4, false, 2", // u within its own
+        "STANDARD, 4, HIGH, 4, false, 2", // u is within its own
         "STANDARD, 0, STANDARD, 1, false, 2"
     })
-    void whoMayBeStopped(
-            Priority mine, double myGpus, Priority theirs, double theirGpus, boolean stopped, int running) {
-        Cluster c = Fixtures.cluster(
-                new Team("t", myGpus > 0 ? 100 : 0, 0, myGpus, 0, 1),
-                new Team("u", theirGpus > 0 ? 100 : 0, 0, theirGpus, 0, 1));
-        List<Job> victims = new ArrayList<>();
-        for (int i = 0; i < running; i++) {
-            Fixtures.addMachine(c, "n-" + i, "gpu", "a");
-            victims.add(Fixtures.addJob(c, of("wk-10000" + i, "u", theirs)));
+    void victimsHaveLowerPriorityOrExceedTheirGuarantee(
+            Priority priority,
+            double guaranteedGpus,
+            Priority victimPriority,
+            double victimGuaranteedGpus,
+            boolean stopped,
+            int runningGangs) {
+        Cluster cluster = Fixtures.cluster(
+                new Team("t", guaranteedGpus > 0 ? 100 : 0, 0, guaranteedGpus, 0, 1),
+                new Team("u", victimGuaranteedGpus > 0 ? 100 : 0, 0, victimGuaranteedGpus, 0, 1));
+        List<Job> runningJobs = new ArrayList<>();
+        for (int i = 0; i < runningGangs; i++) {
+            Fixtures.addMachine(cluster, "n-" + i, "gpu", "a");
+            runningJobs.add(Fixtures.addJob(cluster, gangSpec("wk-10000" + i, "u", victimPriority)));
         }
-        new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, 1), 1).allocate();
-        Job gang = Fixtures.addJob(c, of("wk-000002", "t", mine));
-        Allocator round = new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, 2), 2);
-        round.allocate();
-        new Preemptor(c)
-                .preemptFor(List.of(gang), round.machineViews(), round.usage(), new ReplicaStartTimes(j -> 8, 2), 2);
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, 1), 1)
+                .allocate();
+        Job gang = Fixtures.addJob(cluster, gangSpec("wk-000002", "t", priority));
+        Allocator allocator =
+                new Allocator(cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, 2), 2);
+        allocator.allocate();
+        new Preemptor(cluster)
+                .preemptFor(
+                        List.of(gang),
+                        allocator.machineViews(),
+                        allocator.usage(),
+                        new ReplicaStartTimes(j -> 8, 2),
+                        2);
         assertEquals(
                 stopped ? 1 : 0,
-                victims.stream().filter(v -> v.placements.get(0).stopping).count());
+                runningJobs.stream()
+                        .filter(job -> job.placements.get(0).stopping)
+                        .count());
         if (!stopped) {
             return;
         }
-        // The room counts as releasing, so the next round reserves it for the gang.
-        new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, 3), 3).allocate();
-        assertEquals(1, c.reservations.get("wk-000002").size());
+        // The victim's capacity counts as releasing, so the next round reserves it for the gang.
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, 3), 3)
+                .allocate();
+        assertEquals(1, cluster.reservations.get("wk-000002").size());
     }
 
-    /** What was told to stop is still there; counted as used, it would let a team be stopped far below its guarantee. */
-    @ParameterizedTest(name = "{0} gangs of {1} of u, guaranteed {2} GPUs, for {3} gangs of t: {4} tasks stopped")
+    /**
+     * Stopping tasks still hold their capacity. If they counted as used, each round could stop more tasks of a team, until
+     * it falls far below its guarantee.
+     */
+    @ParameterizedTest(
+            name =
+                    "{0} running gangs of {1} tasks of u ({2} GPUs guaranteed), {3} waiting gangs of t: {4} tasks stopped")
     @CsvSource({"6, 1, 8, 4, 2", "6, 1, 4, 4, 4", "3, 2, 8, 4, 2", "3, 2, 9, 4, 0", "6, 1, 8, 1, 1", "3, 2, 2, 4, 4"})
-    void aTeamKeepsItsGuaranteeThroughSeveralRounds(int gangs, int tasks, double guarantee, int waiting, int stopped) {
-        Cluster c = Fixtures.cluster(new Team("t", 1000, 0, 100, 0, 1), new Team("u", 1000, 0, guarantee, 0, 1));
-        List<Job> victims = new ArrayList<>();
-        for (int i = 0; i < gangs * tasks; i++) {
-            Fixtures.addMachine(c, "n-" + i, "gpu", "a");
+    void preemptionsOfSeveralRoundsLeaveTheGuarantee(
+            int runningGangs, int tasksPerGang, double guaranteedGpus, int waitingGangs, int stopped) {
+        Cluster cluster =
+                Fixtures.cluster(new Team("t", 1000, 0, 100, 0, 1), new Team("u", 1000, 0, guaranteedGpus, 0, 1));
+        List<Job> runningJobs = new ArrayList<>();
+        for (int i = 0; i < runningGangs * tasksPerGang; i++) {
+            Fixtures.addMachine(cluster, "n-" + i, "gpu", "a");
         }
-        for (int i = 0; i < gangs; i++) {
-            JobSpec s = of("wk-10000" + i, "u", Priority.STANDARD);
-            victims.add(Fixtures.addJob(
-                    c, JobSpecBuilder.of(s).jobType(JobType.GANG).tasks(tasks).build()));
+        for (int i = 0; i < runningGangs; i++) {
+            JobSpec spec = gangSpec("wk-10000" + i, "u", Priority.STANDARD);
+            runningJobs.add(Fixtures.addJob(
+                    cluster,
+                    JobSpecBuilder.of(spec)
+                            .jobType(JobType.GANG)
+                            .tasks(tasksPerGang)
+                            .build()));
         }
-        new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, 1), 1).allocate();
-        List<Job> mine = new ArrayList<>();
-        for (int i = 0; i < waiting; i++) {
-            mine.add(Fixtures.addJob(c, of("wk-20000" + i, "t", Priority.STANDARD)));
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, 1), 1)
+                .allocate();
+        List<Job> waitingJobs = new ArrayList<>();
+        for (int i = 0; i < waitingGangs; i++) {
+            waitingJobs.add(Fixtures.addJob(cluster, gangSpec("wk-20000" + i, "t", Priority.STANDARD)));
         }
-        Preemptor p = new Preemptor(c);
+        Preemptor preemptor = new Preemptor(cluster);
         for (int round = 0; round < 4; round++) {
-            double now = 2 + 4 * round;
-            Allocator a = new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, now), now);
-            a.allocate();
-            p.preemptFor(mine, a.machineViews(), a.usage(), new ReplicaStartTimes(j -> 8, now), now);
+            double nowS = 2 + 4 * round;
+            Allocator allocator = new Allocator(
+                    cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, nowS), nowS);
+            allocator.allocate();
+            preemptor.preemptFor(
+                    waitingJobs,
+                    allocator.machineViews(),
+                    allocator.usage(),
+                    new ReplicaStartTimes(j -> 8, nowS),
+                    nowS);
         }
         assertEquals(
                 stopped,
-                victims.stream()
-                        .flatMap(v -> v.placements.values().stream())
-                        .filter(q -> q.stopping)
+                runningJobs.stream()
+                        .flatMap(job -> job.placements.values().stream())
+                        .filter(placement -> placement.stopping)
                         .count());
     }
 
-    /** Stopping for a part of a gang frees room that is filled again at once, and stopped again, for as long as it waits. */
+    /**
+     * Capacity freed for only a part of a gang would be filled again at once, and its tasks stopped again, for as long as
+     * the gang waits.
+     */
     @ParameterizedTest(
-            name = "gang of {0}: {1} machines idle, {2} with work that may be stopped, {3} with other: stopped {4}")
+            name = "gang of {0} tasks: {1} idle machines, {2} with low priority, {3} with high priority: {4} stopped")
     @CsvSource({"2, 0, 2, 0, 2", "2, 1, 2, 0, 1", "2, 1, 0, 1, 0", "2, 0, 1, 1, 0", "4, 2, 1, 1, 0", "4, 1, 3, 0, 3"})
-    void aGangStopsAllThatItNeedsOrNothing(int tasks, int idle, int low, int high, int stopped) {
-        Cluster c = Fixtures.cluster();
-        List<Job> all = new ArrayList<>();
-        for (int i = 0; i < low + high; i++) {
-            Fixtures.addMachine(c, "n-" + i, "gpu", "a");
-            all.add(Fixtures.addJob(c, of("wk-10000" + i, "t", i < low ? Priority.IDLE : Priority.HIGH)));
+    void tasksAreStoppedForAWholeGangOrNotAtAll(
+            int tasks, int idleMachines, int lowPriorityJobs, int highPriorityJobs, int stopped) {
+        Cluster cluster = Fixtures.cluster();
+        List<Job> runningJobs = new ArrayList<>();
+        for (int i = 0; i < lowPriorityJobs + highPriorityJobs; i++) {
+            Fixtures.addMachine(cluster, "n-" + i, "gpu", "a");
+            runningJobs.add(Fixtures.addJob(
+                    cluster, gangSpec("wk-10000" + i, "t", i < lowPriorityJobs ? Priority.IDLE : Priority.HIGH)));
         }
-        new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, 1), 1).allocate();
-        for (int i = 0; i < idle; i++) {
-            Fixtures.addMachine(c, "n-9" + i, "gpu", "a");
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, 1), 1)
+                .allocate();
+        for (int i = 0; i < idleMachines; i++) {
+            Fixtures.addMachine(cluster, "n-9" + i, "gpu", "a");
         }
-        JobSpec s = Fixtures.withZoneRules(
+        JobSpec spec = Fixtures.withZoneRules(
                 Fixtures.spec("wk-000002", true, tasks, new Resources(20, 2, 60), Priority.HIGH), true, false);
-        Job gang = Fixtures.addJob(c, s);
-        Allocator round = new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, 2), 2);
-        round.allocate();
-        new Preemptor(c)
-                .preemptFor(List.of(gang), round.machineViews(), round.usage(), new ReplicaStartTimes(j -> 8, 2), 2);
+        Job gang = Fixtures.addJob(cluster, spec);
+        Allocator allocator =
+                new Allocator(cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, 2), 2);
+        allocator.allocate();
+        new Preemptor(cluster)
+                .preemptFor(
+                        List.of(gang),
+                        allocator.machineViews(),
+                        allocator.usage(),
+                        new ReplicaStartTimes(j -> 8, 2),
+                        2);
         assertEquals(
-                stopped, all.stream().filter(v -> v.placements.get(0).stopping).count());
-        new Allocator(c, Fixtures.untrackedZones(c), j -> 0, new ReplicaStartTimes(j -> 8, 3), 3).allocate();
-        assertEquals(stopped > 0, c.reservations.containsKey("wk-000002"));
+                stopped,
+                runningJobs.stream()
+                        .filter(job -> job.placements.get(0).stopping)
+                        .count());
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), j -> 0, new ReplicaStartTimes(j -> 8, 3), 3)
+                .allocate();
+        assertEquals(stopped > 0, cluster.reservations.containsKey("wk-000002"));
     }
 }
--- a/src/test/java/org/mountlug/core/ReplicasTest.java
+++ b/src/test/java/org/mountlug/core/ReplicasTest.java
@@ -25,24 +25,27 @@
 import org.mountlug.core.preempt.Preemptor;
 import org.mountlug.core.scale.Scaler;
 
-/** What is decided about replicas, which never end: where they go, when they move, and what they are worth. */
+/** Tests decisions about replicas of services, which never complete: placement, restarts, preemption, moves and rentals. */
 class ReplicasTest {
-    private static final Resources NEED = new Resources(1, 0, 2);
+    private static final Resources REQUEST = new Resources(1, 0, 2);
 
-    private static Job service(Cluster c, int replicas) {
-        return Fixtures.addJob(c, Fixtures.spec("wk-000009", JobType.SERVICE, replicas, NEED, Priority.PROD));
+    private static Job addService(Cluster cluster, int replicas) {
+        return Fixtures.addJob(cluster, Fixtures.spec("wk-000009", JobType.SERVICE, replicas, REQUEST, Priority.PROD));
     }
 
-    private static Scaler scaler(Cluster c) {
-        return new Scaler(c, Fixtures.untrackedZones(c), new Objectives(), 10, 2, 20, 1.15);
+    private static Scaler newScaler(Cluster cluster) {
+        return new Scaler(cluster, Fixtures.untrackedZones(cluster), new Objectives(), 10, 2, 20, 1.15);
     }
 
-    private static ReplicaStartTimes times(double nowS) {
+    private static ReplicaStartTimes startTimes(double nowS) {
         return new ReplicaStartTimes(j -> 8, nowS);
     }
 
-    /** Whatever a replica ends with, it is wanted again, at once the first time; the next ends slow it down. */
-    @ParameterizedTest(name = "{0} after {1} s, {2} times: wanted again after {3} s")
+    /**
+     * A replica is started again whatever the cause of its exit. The first exit causes no delay, repeated ones after a
+     * short run cause a growing delay. A replica that did not start for lack of capacity always waits.
+     */
+    @ParameterizedTest(name = "{0} after {1} s, {2} times: pending again after {3} s")
     @CsvSource({
         "DONE, 1, 1, 0",
         "ERROR, 1, 1, 0",
@@ -53,16 +56,16 @@
         "ERROR, 40, 9, 0",
         "FULL, 1, 1, 2"
     })
-    void aReplicaThatEndedIsWantedAgain(ExitCause cause, double ranS, int times, double afterS) {
-        Cluster c = Fixtures.cluster();
-        Machine m = Fixtures.addMachine(c, "n-1", "small", "a");
-        Job j = service(c, 1);
-        double now = 0;
-        for (int i = 1; i <= times; i++) {
-            Placement p = c.place(j, 0, ++j.lastAttempt, m, now);
-            Fixtures.markPersisted(j);
-            c.handleReport(Fixtures.report("n-1", "small", "a", 1, 10 * i, Fixtures.TOKEN), true, now);
-            c.handleReport(
+    void endedReplicaIsPendingAgain(ExitCause cause, double ranS, int exits, double delayS) {
+        Cluster cluster = Fixtures.cluster();
+        Machine machine = Fixtures.addMachine(cluster, "n-1", "small", "a");
+        Job job = addService(cluster, 1);
+        double nowS = 0;
+        for (int i = 1; i <= exits; i++) {
+            Placement placement = cluster.place(job, 0, ++job.lastAttempt, machine, nowS);
+            Fixtures.markPersisted(job);
+            cluster.handleReport(Fixtures.report("n-1", "small", "a", 1, 10 * i, Fixtures.TOKEN), true, nowS);
+            cluster.handleReport(
                     Fixtures.report(
                             "n-1",
                             "small",
@@ -70,11 +73,12 @@
                             1,
                             10 * i + 1,
                             Fixtures.TOKEN,
-                            Fixtures.attemptStatus("wk-000009", 0, p.attempt, AttemptState.RUNNING, ExitCause.NONE)),
+                            Fixtures.attemptStatus(
+                                    "wk-000009", 0, placement.attempt, AttemptState.RUNNING, ExitCause.NONE)),
                     true,
-                    now);
-            now += ranS;
-            c.handleReport(
+                    nowS);
+            nowS += ranS;
+            cluster.handleReport(
                     Fixtures.report(
                             "n-1",
                             "small",
@@ -82,16 +86,16 @@
                             1,
                             10 * i + 2,
                             Fixtures.TOKEN,
-                            Fixtures.attemptStatus("wk-000009", 0, p.attempt, AttemptState.EXITED, cause)),
+                            Fixtures.attemptStatus("wk-000009", 0, placement.attempt, AttemptState.EXITED, cause)),
                     true,
-                    now);
-            assertTrue(j.placements.isEmpty() && j.doneTasks.isEmpty() && !j.isFinished());
+                    nowS);
+            assertTrue(job.placements.isEmpty() && job.doneTasks.isEmpty() && !job.isFinished());
         }
-        assertTrue(j.needsPlacement(0, now + afterS));
-        assertTrue(afterS == 0 || !j.needsPlacement(0, now + afterS - 0.1));
+        assertTrue(job.needsPlacement(0, nowS + delayS));
+        assertTrue(delayS == 0 || !job.needsPlacement(0, nowS + delayS - 0.1));
     }
 
-    /** Room for a replica is made at the cost of what ends anyway, not of accelerator work nor of its equals. */
+    /** For a replica, CPU-only work of a lower priority is stopped, but neither accelerator work nor work of its priority. */
     @ParameterizedTest(name = "{0} {1} of {2} CPUs and {3} GPUs on {4}: stopped {5}")
     @CsvSource({
         "ARRAY, HIGH, 4, 0, small, true",
@@ -100,23 +104,30 @@
         "GANG, STANDARD, 24, 2, gpu, false",
         "ARRAY, STANDARD, 12, 1, gpu, false"
     })
-    void whoMakesRoomForAReplica(JobType shape, Priority u, double cpus, double gpus, String type, boolean stopped) {
-        Cluster c = Fixtures.cluster();
-        Fixtures.addMachine(c, "n-1", type, "a");
-        Job other = Fixtures.addJob(
-                c, Fixtures.spec("wk-000001", shape, gpus == 1 ? 2 : 1, new Resources(cpus, gpus, 8), u));
-        new Allocator(c, Fixtures.untrackedZones(c), j -> 0, times(5), 5).allocate();
-        assertFalse(other.placements.isEmpty());
-        Job j = service(c, 2);
-        Allocator a = new Allocator(c, Fixtures.untrackedZones(c), x -> 0, times(6), 6);
-        a.allocate();
-        new Preemptor(c).preemptFor(List.of(j), a.machineViews(), a.usage(), times(6), 6);
-        assertEquals(stopped, other.placements.values().stream().anyMatch(p -> p.stopping));
+    void onlyCpuWorkOfLowerPriorityIsStoppedForAReplica(
+            JobType jobType, Priority priority, double cpus, double gpus, String machineType, boolean stopped) {
+        Cluster cluster = Fixtures.cluster();
+        Fixtures.addMachine(cluster, "n-1", machineType, "a");
+        Job runningJob = Fixtures.addJob(
+                cluster,
+                Fixtures.spec("wk-000001", jobType, gpus == 1 ? 2 : 1, new Resources(cpus, gpus, 8), priority));
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), x -> 0, startTimes(5), 5).allocate();
+        assertFalse(runningJob.placements.isEmpty());
+        Job service = addService(cluster, 2);
+        Allocator allocator = new Allocator(cluster, Fixtures.untrackedZones(cluster), x -> 0, startTimes(6), 6);
+        allocator.allocate();
+        new Preemptor(cluster)
+                .preemptFor(List.of(service), allocator.machineViews(), allocator.usage(), startTimes(6), 6);
+        assertEquals(stopped, runningJob.placements.values().stream().anyMatch(p -> p.stopping));
     }
 
-    /** A silent machine is given up early for its replicas only, and only if the silence is its own. */
+    /**
+     * A machine that falls silent is returned early so that its replicas start elsewhere, unless other work would lose more
+     * by it, other machines are silent too, or the controller itself was paused.
+     */
     @ParameterizedTest(
-            name = "silent {0} s, {1} replicas, {2} tasks that ran {3} s, others silent {4}, woke at {5}: returned {6}")
+            name =
+                    "silent for {0} s, {1} replicas, {2} tasks that ran {3} s, {4} others silent, paused until {5}: returned {6}")
     @CsvSource({
         "4, 2, 0, 0, 0, -100, false",
         "6, 2, 0, 0, 0, -100, true",
@@ -125,117 +136,133 @@
         "6, 2, 0, 0, 4, -100, false",
         "6, 2, 0, 0, 0, 90, false"
     })
-    void aSilentMachineWithReplicas(
-            double silent, int replicas, int tasks, double ran, int others, double woke, boolean returned) {
-        Cluster c = Fixtures.cluster();
-        c.restartListening(woke);
-        double now = 100;
+    void silentMachineIsReturnedEarlyForItsReplicas(
+            double silentS,
+            int replicas,
+            int tasks,
+            double ranS,
+            int otherSilentMachines,
+            double listeningSinceS,
+            boolean returned) {
+        Cluster cluster = Fixtures.cluster();
+        cluster.restartListening(listeningSinceS);
+        double nowS = 100;
         for (int i = 0; i < 12; i++) {
-            Fixtures.addMachine(c, "n-" + (10 + i), "small", "a").lastReportS = i < others ? now - silent : now;
+            Fixtures.addMachine(cluster, "n-" + (10 + i), "small", "a").lastReportS =
+                    i < otherSilentMachines ? nowS - silentS : nowS;
         }
-        Machine m = Fixtures.addMachine(c, "n-1", "small", "a");
-        m.lastReportS = now - silent;
-        Job j = service(c, Math.max(1, replicas));
-        for (int t = 0; t < replicas; t++) {
-            c.place(j, t, 1, m, 0);
+        Machine machine = Fixtures.addMachine(cluster, "n-1", "small", "a");
+        machine.lastReportS = nowS - silentS;
+        Job service = addService(cluster, Math.max(1, replicas));
+        for (int task = 0; task < replicas; task++) {
+            cluster.place(service, task, 1, machine, 0);
         }
-        Job k = Fixtures.addJob(c, Fixtures.spec("wk-000002", JobType.ARRAY, 1, new Resources(2, 0, 8), Priority.HIGH));
-        for (int t = 0; t < tasks; t++) {
-            c.place(k, t, 1, m, 0).runningSinceS = now - ran;
+        Job array = Fixtures.addJob(
+                cluster, Fixtures.spec("wk-000002", JobType.ARRAY, 1, new Resources(2, 0, 8), Priority.HIGH));
+        for (int task = 0; task < tasks; task++) {
+            cluster.place(array, task, 1, machine, 0).runningSinceS = nowS - ranS;
         }
-        assertEquals(returned, scaler(c).planReturns(now, 0).contains("n-1"));
+        assertEquals(returned, newScaler(cluster).planReturns(nowS, 0).contains("n-1"));
     }
 
-    /** From a machine that is about to go replicas move while there is room elsewhere, never most of them at a time. */
-    @ParameterizedTest(name = "room elsewhere {0}, {1} s left: {2} of 4 stop")
+    /**
+     * Replicas on a machine that will be reclaimed are stopped while there is capacity elsewhere, at most half of a service
+     * at a time. Without capacity elsewhere they are stopped only just before the machine is reclaimed.
+     */
+    @ParameterizedTest(name = "capacity elsewhere {0}, reclaimed in {1} s: {2} of 4 stopped")
     @CsvSource({"true, 60, 2", "false, 60, 0", "false, 1, 4"})
-    void replicasMoveBeforeTheirMachineGoes(boolean room, double left, int stopped) {
-        Cluster c = Fixtures.cluster();
-        Machine m = Fixtures.addMachine(c, "n-1", "small", "a");
-        if (room) {
-            Fixtures.addMachine(c, "n-2", "small", "a");
+    void replicasMoveBeforeTheirMachineIsReclaimed(boolean capacityElsewhere, double remainingS, int stopped) {
+        Cluster cluster = Fixtures.cluster();
+        Machine machine = Fixtures.addMachine(cluster, "n-1", "small", "a");
+        if (capacityElsewhere) {
+            Fixtures.addMachine(cluster, "n-2", "small", "a");
         }
-        Job j = service(c, 4);
-        for (int t = 0; t < 4; t++) {
-            c.place(j, t, 1, m, 0);
+        Job service = addService(cluster, 4);
+        for (int replica = 0; replica < 4; replica++) {
+            cluster.place(service, replica, 1, machine, 0);
         }
-        m.reclaimAtS = 10 + left;
-        Scaler s = scaler(c);
-        s.drain(10);
+        machine.reclaimAtS = 10 + remainingS;
+        Scaler scaler = newScaler(cluster);
+        scaler.drain(10);
         assertEquals(
-                stopped, j.placements.values().stream().filter(p -> p.stopping).count());
-        // What has to move, and what has no place yet, needs a machine as much as what waits.
-        if (!room) {
-            assertFalse(s.planRentals(10, 0).isEmpty());
+                stopped,
+                service.placements.values().stream().filter(p -> p.stopping).count());
+        // Replicas that have to move need a machine as much as pending ones, so one is rented.
+        if (!capacityElsewhere) {
+            assertFalse(scaler.planRentals(10, 0).isEmpty());
         }
     }
 
-    /** Room for the next services is rented and kept by what was lately asked for, and for nothing else. */
-    @ParameterizedTest(name = "{0} replicas {1} s ago, {2} machines idle: rents {3}, returns {4}")
+    /** Capacity for expected services is rented and kept only after recent submissions of services, and in proportion. */
+    @ParameterizedTest(name = "{0} replicas submitted {1} s ago, {2} idle machines: rents {3}, returns {4}")
     @CsvSource({"0, 5, 3, false, 3", "4, 5, 3, false, 2", "4, 500, 3, false, 3", "16, 5, 3, true, 0"})
-    void roomForServicesToCome(int replicas, double agoS, int idle, boolean rents, int returned) {
-        Cluster c = Fixtures.cluster();
-        for (int i = 0; i < idle; i++) {
-            Fixtures.addMachine(c, "n-" + (10 + i), "small", "a");
+    void capacityIsKeptForExpectedServices(int replicas, double agoS, int idleMachines, boolean rents, int returned) {
+        Cluster cluster = Fixtures.cluster();
+        for (int i = 0; i < idleMachines; i++) {
+            Fixtures.addMachine(cluster, "n-" + (10 + i), "small", "a");
         }
         if (replicas > 0) {
-            Machine m = Fixtures.addMachine(c, "n-1", "gpu", "a");
-            Job j = service(c, replicas);
-            for (int t = 0; t < replicas; t++) {
-                c.place(j, t, 1, m, 0);
+            Machine machine = Fixtures.addMachine(cluster, "n-1", "gpu", "a");
+            Job service = addService(cluster, replicas);
+            for (int replica = 0; replica < replicas; replica++) {
+                cluster.place(service, replica, 1, machine, 0);
             }
         }
-        for (Machine m : c.machines.values()) {
-            m.lastReportS = 90;
+        for (Machine machine : cluster.machines.values()) {
+            machine.lastReportS = 90;
         }
-        Scaler s = scaler(c);
-        assertEquals(rents, !s.planRentals(90, agoS).isEmpty());
-        assertEquals(returned, s.planReturns(90, agoS).size());
+        Scaler scaler = newScaler(cluster);
+        assertEquals(rents, !scaler.planRentals(90, agoS).isEmpty());
+        assertEquals(returned, scaler.planReturns(90, agoS).size());
     }
 
-    /** A service that never ends is counted on by nobody: its machine is not held for a gang, nor given away ahead. */
+    /** A replica never completes, so its machine is not held for a gang and no standby is placed on it. */
     @Test
-    void nothingCountsOnAReplicaToEnd() {
-        Cluster c = Fixtures.cluster();
-        Machine m = Fixtures.addMachine(c, "n-1", "gpu", "a");
-        Job j = Fixtures.addJob(
-                c, Fixtures.spec("wk-000009", JobType.SERVICE, 1, new Resources(20, 2, 60), Priority.PROD));
-        c.place(j, 0, 1, m, 0).runningSinceS = 0;
-        Fixtures.addJob(c, Fixtures.spec("wk-000001", JobType.GANG, 1, new Resources(20, 2, 60), Priority.PROD));
-        Fixtures.addJob(c, Fixtures.spec("wk-000002", JobType.ARRAY, 4, new Resources(20, 0, 60), Priority.HIGH));
-        new Allocator(c, Fixtures.untrackedZones(c), x -> 0, times(5000), 5000).allocate();
-        assertEquals(null, m.heldForGang);
-        assertEquals(1, m.placements.size());
+    void replicasAreNotExpectedToEnd() {
+        Cluster cluster = Fixtures.cluster();
+        Machine machine = Fixtures.addMachine(cluster, "n-1", "gpu", "a");
+        Job service = Fixtures.addJob(
+                cluster, Fixtures.spec("wk-000009", JobType.SERVICE, 1, new Resources(20, 2, 60), Priority.PROD));
+        cluster.place(service, 0, 1, machine, 0).runningSinceS = 0;
+        Fixtures.addJob(cluster, Fixtures.spec("wk-000001", JobType.GANG, 1, new Resources(20, 2, 60), Priority.PROD));
+        Fixtures.addJob(cluster, Fixtures.spec("wk-000002", JobType.ARRAY, 4, new Resources(20, 0, 60), Priority.HIGH));
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), x -> 0, startTimes(5000), 5000).allocate();
+        assertEquals(null, machine.heldForGang);
+        assertEquals(1, machine.placements.size());
     }
 
-    /** Where an image would make every cheap machine late, one replica warms such a machine and the rest start at once. */
+    /**
+     * If fetching an image would make replicas late on every CPU machine, one replica fetches it there and the others start
+     * on accelerator machines; a later service then starts on the CPU machine.
+     */
     @Test
-    void oneReplicaWarmsACheapMachine() {
-        Cluster c = Fixtures.cluster(new Team("t", 0, 0, 0, 0, 1));
-        c.setMachineTypes(List.of(new org.mountlug.core.model.MachineType(
+    void oneReplicaFetchesTheImageToACpuMachine() {
+        Cluster cluster = Fixtures.cluster(new Team("t", 0, 0, 0, 0, 1));
+        cluster.setMachineTypes(List.of(new org.mountlug.core.model.MachineType(
                 "small", new Resources(16, 0, 64), 50, 0.1, 0.2, 0.1, 30, List.of("a"))));
-        Fixtures.addMachine(c, "n-1", "small", "a");
-        Fixtures.addMachine(c, "n-2", "gpu", "a");
-        Fixtures.addJob(c, Fixtures.spec("wk-000001", true, 2, new Resources(18, 2, 77), Priority.HIGH));
-        Job j = service(c, 6);
-        new Allocator(c, Fixtures.untrackedZones(c), x -> 0, times(5), 5).allocate();
+        Fixtures.addMachine(cluster, "n-1", "small", "a");
+        Fixtures.addMachine(cluster, "n-2", "gpu", "a");
+        Fixtures.addJob(cluster, Fixtures.spec("wk-000001", true, 2, new Resources(18, 2, 77), Priority.HIGH));
+        Job firstService = addService(cluster, 6);
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), x -> 0, startTimes(5), 5).allocate();
         assertEquals(
                 1,
-                j.placements.values().stream()
+                firstService.placements.values().stream()
                         .filter(p -> p.machine.equals("n-1"))
                         .count());
         assertEquals(
                 5,
-                j.placements.values().stream()
+                firstService.placements.values().stream()
                         .filter(p -> p.machine.equals("n-2"))
                         .count());
-        c.machines.get("n-1").cachedImages.add("img");
-        Job k = Fixtures.addJob(c, Fixtures.spec("wk-000010", JobType.SERVICE, 6, NEED, Priority.PROD));
-        k.waitingSinceS = 5;
-        new Allocator(c, Fixtures.untrackedZones(c), x -> 0, times(6), 6).allocate();
+        cluster.machines.get("n-1").cachedImages.add("img");
+        Job secondService =
+                Fixtures.addJob(cluster, Fixtures.spec("wk-000010", JobType.SERVICE, 6, REQUEST, Priority.PROD));
+        secondService.waitingSinceS = 5;
+        new Allocator(cluster, Fixtures.untrackedZones(cluster), x -> 0, startTimes(6), 6).allocate();
         assertEquals(
                 6,
-                k.placements.values().stream()
+                secondService.placements.values().stream()
                         .filter(p -> p.machine.equals("n-1"))
                         .count());
     }
