--- a/src/main/java/org/mountlug/node/AdmissionPublisher.java
+++ b/src/main/java/org/mountlug/node/AdmissionPublisher.java
@@ -20,100 +20,103 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's part of admission: plans the table from what all controllers are asked and publishes it, once a second while
- * any queue is limited and not at all otherwise. A new leader goes on with the schedules that it finds. Each record is
- * guarded by its own revision too, so that a transaction that is carried out late replaces no newer table.
+ * The leader's part of admission: plans the admission table from the demand at all controllers and publishes it, once a second
+ * while any queue is limited and not at all otherwise. A new leader continues the stored schedules. Each write also depends on
+ * the revision of its record, so that a transaction that is executed late cannot replace a newer table.
  */
 final class AdmissionPublisher {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionPublisher.class);
 
     private final LeaderTerm term;
-    private final TokenBucket writes;
+    private final TokenBucket writeRateLimit;
     private final AdmissionPlanner planner;
-    private final AdmissionCapacity budget;
-    private final AdmissionControl own;
+    private final AdmissionCapacity capacity;
+    private final AdmissionControl localAdmission;
     private final boolean enabled;
+    /** By key, the revisions of the stored records of the table. */
     private final Map<String, Long> revisions = new HashMap<>();
+
     private boolean loaded;
-    private boolean calling;
-    /** Whether the table that was published last limits a queue. */
-    private boolean limiting;
+    private boolean callInFlight;
+    /** Whether the stored table limits a queue, or may do so because the outcome of its last write is unknown. */
+    private boolean queuesLimited;
 
     private double nextPlanS;
-    /** Steady seconds at which the state service was last seen not to serve, or this term began. */
-    private double unservedS;
+    /** Monotonic time at which the state service was last seen to be unavailable, or at which this term began. */
+    private double lastUnavailableS;
 
-    AdmissionPublisher(LeaderTerm term, TokenBucket writes, AdmissionControl own) {
+    AdmissionPublisher(LeaderTerm term, TokenBucket writeRateLimit, AdmissionControl localAdmission) {
         this.term = term;
-        this.writes = writes;
-        this.own = own;
-        this.unservedS = term.nowS();
+        this.writeRateLimit = writeRateLimit;
+        this.localAdmission = localAdmission;
+        this.lastUnavailableS = term.nowS();
         Settings settings = term.environment.settings();
-        double changesPerS = settings.stateWriteRps();
-        budget = new AdmissionCapacity(changesPerS, changesPerS * Constants.LEADER_WRITE_SHARE);
+        double writesPerS = settings.stateWriteRps();
+        capacity = new AdmissionCapacity(writesPerS, writesPerS * Constants.LEADER_WRITE_SHARE);
         enabled = term.environment.operators().admission().enabled();
         planner = new AdmissionPlanner(
                 FairShareAdmission.weights(settings, term.environment.operators()),
                 settings.peers().size() + 1);
     }
 
-    /** Takes in what another controller was asked; {@code boot} names its process. */
-    void recordDemand(String controller, long boot, List<QueueDemand> demand) {
-        planner.observeDemand(controller, boot, demand, term.nowS());
+    /** Records the demand at another controller; {@code incarnation} names the life of its process. */
+    void recordDemand(String controller, long incarnation, List<QueueDemand> demand) {
+        planner.observeDemand(controller, incarnation, demand, term.nowS());
     }
 
-    /** Plans and publishes if it is time. */
+    /** Plans the table and publishes it if necessary, once in a plan interval. */
     void tick(double nowS) {
-        if (!enabled || calling || nowS < nextPlanS) {
+        if (!enabled || callInFlight || nowS < nextPlanS) {
             return;
         }
         if (!loaded) {
-            load();
+            loadTable();
             return;
         }
         nextPlanS = nowS + Constants.Admission.PLAN_INTERVAL_MS / 1000.0;
         String label = term.environment.settings().label();
-        planner.observeDemand(label, term.cluster.token(), own.demand(), nowS);
-        budget.observeLeaderWrites(writes.totalAcquired(), limiting, nowS);
-        AdmissionTable table = planner.plan(budget, servedForLong(nowS), nowMs(), nowS);
-        planner.drainTransitions().forEach(AdmissionPublisher::log);
-        if ((limiting || !table.schedules().isEmpty()) && term.isLeaseHeld(nowS)) {
+        planner.observeDemand(label, term.cluster.token(), localAdmission.demand(), nowS);
+        capacity.observeLeaderWrites(writeRateLimit.totalAcquired(), queuesLimited, nowS);
+        AdmissionTable table = planner.plan(capacity, hasRecoveredFromOutage(nowS), nowEpochMs(), nowS);
+        planner.drainTransitions().forEach(AdmissionPublisher::logTransition);
+        if ((queuesLimited || !table.schedules().isEmpty()) && term.isLeaseHeld(nowS)) {
             publish(table, nowS);
         }
     }
 
-    private boolean servedForLong(double nowS) {
+    /** Whether the last outage of the state service is long enough ago for clients to have retried. */
+    private boolean hasRecoveredFromOutage(double nowS) {
         if (!term.environment.state().isServed()) {
-            unservedS = nowS;
+            lastUnavailableS = nowS;
         }
-        return nowS - unservedS > Constants.Admission.OUTAGE_RECOVERY_S;
+        return nowS - lastUnavailableS > Constants.Admission.OUTAGE_RECOVERY_S;
     }
 
-    private long nowMs() {
+    private long nowEpochMs() {
         return term.environment.epochMs().getAsLong();
     }
 
-    private static void log(AdmissionPlanner.DeferralTransition transition) {
+    private static void logTransition(AdmissionPlanner.DeferralTransition transition) {
         LOG.info(
-                "submissions of team {} are {}: {} a second are asked, {} may be admitted",
+                "submissions of team {} are {}: {} submissions/s requested, {} submissions/s may be admitted",
                 transition.team(),
-                transition.deferred() ? "deferred" : "deferred no more",
+                transition.deferred() ? "deferred" : "no longer deferred",
                 Math.round(transition.submissionsPerS() * 10) / 10.0,
                 Math.round(transition.admittedPerS() * 10) / 10.0);
     }
 
     // ---- the stored table ---------------------------------------------------------------------------------------
 
-    private void load() {
-        call();
-        term.environment.state().list(StateKeys.ADMISSION, null, answer -> {
-            calling = false;
-            if (term.hasEnded() || answer.status() != 200) {
+    private void loadTable() {
+        beginCall();
+        term.environment.state().list(StateKeys.ADMISSION, null, response -> {
+            callInFlight = false;
+            if (term.hasEnded() || response.status() != 200) {
                 return;
             }
             List<Map<String, Object>> records = new ArrayList<>();
             revisions.clear();
-            for (Object element : Fields.getList(answer.body(), "rows")) {
+            for (Object element : Fields.getList(response.body(), "rows")) {
                 Map<String, Object> row = Fields.asMap(element);
                 revisions.put(Fields.getString(row, "k"), Fields.getLong(row, "stamp", 0));
                 records.add(Fields.asMap(row.get("v")));
@@ -123,53 +126,53 @@
         });
     }
 
-    private void call() {
-        calling = true;
+    private void beginCall() {
+        callInFlight = true;
         nextPlanS = term.nowS() + Constants.Admission.PLAN_INTERVAL_MS / 1000.0;
     }
 
     private void restore(AdmissionTable table) {
-        if (limiting) {
-            return; // read again after a failed write: what this term has planned goes on
+        if (queuesLimited) {
+            return; // read again after a failed write: the plan of this term stays in use
         }
-        planner.restore(table, nowMs());
-        limiting = table.limitsAnyQueue(nowMs());
-        if (limiting) {
-            budget.restore(table.capacityPerS(), term.nowS());
+        planner.restore(table, nowEpochMs());
+        queuesLimited = table.limitsAnyQueue(nowEpochMs());
+        if (queuesLimited) {
+            capacity.restore(table.capacityPerS(), term.nowS());
             LOG.info(
-                    "{} queues are limited, as the last leader left it",
+                    "{} queues are limited, restored from the previous leader",
                     table.schedules().size());
         }
     }
 
     private void publish(AdmissionTable table, double nowS) {
         List<Map<String, Object>> records = AdmissionCodec.write(table, term.maxValueChars());
-        int written = Math.min(records.size(), term.environment.settings().txnOps());
-        Transaction change = term.newFencedTransaction();
-        for (int number = 0; number < written; number++) {
-            String key = StateKeys.ADMISSION + number;
-            change.requireRevision(key, revisions.getOrDefault(key, 0L)).put(key, records.get(number));
+        int recordCount = Math.min(records.size(), term.environment.settings().txnOps());
+        Transaction transaction = term.newFencedTransaction();
+        for (int recordNumber = 0; recordNumber < recordCount; recordNumber++) {
+            String key = StateKeys.ADMISSION + recordNumber;
+            transaction.requireRevision(key, revisions.getOrDefault(key, 0L)).put(key, records.get(recordNumber));
         }
-        writes.charge(nowS, written);
-        call();
-        term.environment.state().commit(change, answer -> {
-            calling = false;
+        writeRateLimit.charge(nowS, recordCount);
+        beginCall();
+        term.environment.state().commit(transaction, response -> {
+            callInFlight = false;
             if (!term.hasEnded()) {
-                published(answer, written, !table.schedules().isEmpty());
+                handlePublishResponse(response, recordCount, !table.schedules().isEmpty());
             }
         });
     }
 
-    private void published(PooledHttpClient.Response answer, int written, boolean limits) {
-        limiting |= limits;
-        if (answer.status() == 200) {
-            long revision = Fields.getLong(answer.body(), "epoch", 0);
-            for (int number = 0; number < written; number++) {
-                revisions.put(StateKeys.ADMISSION + number, revision);
+    private void handlePublishResponse(PooledHttpClient.Response response, int recordCount, boolean limitsQueues) {
+        queuesLimited |= limitsQueues;
+        if (response.status() == 200) {
+            long revision = Fields.getLong(response.body(), "epoch", 0);
+            for (int recordNumber = 0; recordNumber < recordCount; recordNumber++) {
+                revisions.put(StateKeys.ADMISSION + recordNumber, revision);
             }
-            limiting = limits;
-        } else if (answer.status() != 429 && answer.status() != 503) {
-            loaded = false; // it may have been carried out, or another record is there: the revisions are read again
+            queuesLimited = limitsQueues;
+        } else if (response.status() != 429 && response.status() != 503) {
+            loaded = false; // the write may have been executed or met another record: read the revisions again
         }
     }
 }
--- a/src/main/java/org/mountlug/node/DirectCommandSender.java
+++ b/src/main/java/org/mountlug/node/DirectCommandSender.java
@@ -11,37 +11,42 @@
 import org.mountlug.core.model.Report;
 import org.mountlug.wire.PooledHttpClient;
 
-/** Sends what must not wait for a machine's next report directly to its worker, at most one message a machine at a time. */
+/**
+ * Sends urgent commands directly to workers instead of in the response to their next report, with at most one message in
+ * flight for each machine.
+ */
 final class DirectCommandSender {
     private final LeaderTerm term;
-    /** Machines with orders on their way. */
-    private final Set<String> commanded = new HashSet<>();
+    /** Names of the machines whose worker has not answered its last commands yet. */
+    private final Set<String> machinesWithCommandsInFlight = new HashSet<>();
 
     DirectCommandSender(LeaderTerm term) {
         this.term = term;
     }
 
+    /** Sends the commands that are due now, up to the limit of messages in flight. */
     void send(double nowS) {
-        // Stops of cancelled jobs leave without a proof of leading, too: no write to a state service that does not
-        // serve us may be waited for, and a later leader's worker refuses them by their token.
-        boolean proven = term.isLeaseHeld(nowS);
+        // Stops of cancelled jobs are sent even if the leader lease is not known to be held: they must not wait for a
+        // state service that does not answer, and a worker that follows a later leader rejects them by their token.
+        boolean leaseHeld = term.isLeaseHeld(nowS);
         for (Machine machine : term.cluster.machines.values()) {
-            if (machine.placements.isEmpty() || commanded.contains(machine.name)) {
+            if (machine.placements.isEmpty() || machinesWithCommandsInFlight.contains(machine.name)) {
                 continue;
             }
-            if (commanded.size() >= Constants.MAX_DIRECT_COMMANDS) {
+            if (machinesWithCommandsInFlight.size() >= Constants.MAX_DIRECT_COMMANDS) {
                 return;
             }
-            boolean anyStart = commanded.size() < Constants.MAX_NON_URGENT_DIRECT_COMMANDS;
-            List<Command> orders = term.cluster.takeDirectCommands(machine, proven, anyStart, nowS);
-            if (!orders.isEmpty()) {
-                send(machine, orders);
+            boolean nonUrgentStartsAllowed =
+                    machinesWithCommandsInFlight.size() < Constants.MAX_NON_URGENT_DIRECT_COMMANDS;
+            List<Command> commands = term.cluster.takeDirectCommands(machine, leaseHeld, nonUrgentStartsAllowed, nowS);
+            if (!commands.isEmpty()) {
+                send(machine, commands);
             }
         }
     }
 
-    private void send(Machine machine, List<Command> orders) {
-        commanded.add(machine.name);
+    private void send(Machine machine, List<Command> commands) {
+        machinesWithCommandsInFlight.add(machine.name);
         long session = machine.session;
         term.environment
                 .workerClients()
@@ -49,28 +54,29 @@
                 .call(
                         Methods.POST,
                         "/commands",
-                        WorkerCodec.writeCommand(term.cluster.token(), session, orders),
+                        WorkerCodec.writeCommand(term.cluster.token(), session, commands),
                         Constants.COMMAND_TIMEOUT_MS,
-                        answer -> {
-                            commanded.remove(machine.name);
+                        response -> {
+                            machinesWithCommandsInFlight.remove(machine.name);
                             if (!term.hasEnded()) {
-                                answered(machine, session, orders, answer);
+                                handleResponse(machine, session, commands, response);
                             }
                         });
     }
 
-    private void answered(Machine machine, long session, List<Command> orders, PooledHttpClient.Response answer) {
-        boolean reported = answer.status() == 200 || answer.status() == 409;
-        Report report = reported ? WorkerCodec.readReport(answer.body()) : null;
+    private void handleResponse(
+            Machine machine, long session, List<Command> commands, PooledHttpClient.Response response) {
+        boolean hasReport = response.status() == 200 || response.status() == 409;
+        Report report = hasReport ? WorkerCodec.readReport(response.body()) : null;
         if (report != null && report.token() > term.cluster.token()) {
-            term.depose(machine.name + " knows token " + report.token());
-        } else if (answer.status() == 200) {
+            term.depose("machine " + machine.name + " reported the newer token " + report.token());
+        } else if (response.status() == 200) {
             if (report != null) {
-                term.cluster.recordCommandResponse(machine, report, orders, term.nowS());
+                term.cluster.recordCommandResponse(machine, report, commands, term.nowS());
             }
-        } else if (answer.status() == 409 || answer.status() == 400 || !answer.requestSent()) {
-            term.cluster.recordRefusedCommands(machine, session, orders);
+        } else if (response.status() == 409 || response.status() == 400 || !response.requestSent()) {
+            term.cluster.recordRefusedCommands(machine, session, commands);
         }
-        // Anything else may take effect yet: the starts stay at large.
+        // After any other response the commands may still take effect, so their starts stay unconfirmed.
     }
 }
--- a/src/main/java/org/mountlug/node/ImageIndexStore.java
+++ b/src/main/java/org/mountlug/node/ImageIndexStore.java
@@ -10,46 +10,47 @@
 import org.mountlug.wire.Fields;
 
 /**
- * Notes of which machine has which image, kept in the state service: without them every change of leader costs fetches. A
- * fleet whose notes do not fit into one value has several, of which a few are written at a time.
+ * Stores in the state service which machine has which images; without this image index, images would be fetched again after
+ * each change of leader. An index that does not fit into one value is stored in several shards, of which a few are written at
+ * a time.
  */
 final class ImageIndexStore {
     private final LeaderTerm term;
-    private final TokenBucket writes;
-    /** By key, the note as it is stored. */
-    private final Map<String, Map<String, Object>> stored = new HashMap<>();
+    private final TokenBucket writeRateLimit;
+    /** By key, the shards as the state service holds them. */
+    private final Map<String, Map<String, Object>> storedShards = new HashMap<>();
 
-    private double nextS;
-    /** Where the next turn begins to look for notes to write. */
-    private int nextNote;
+    private double nextWriteS;
+    /** Number of the shard at which the next search for changed shards begins. */
+    private int nextShardNumber;
 
-    ImageIndexStore(LeaderTerm term, TokenBucket writes) {
+    ImageIndexStore(LeaderTerm term, TokenBucket writeRateLimit) {
         this.term = term;
-        this.writes = writes;
-        loadMore(null);
+        this.writeRateLimit = writeRateLimit;
+        loadShards(null);
     }
 
-    /** Reads the notes beyond the first one, beside the records: rounds do not wait for them. */
-    private void loadMore(String after) {
-        term.environment.state().list(StateKeys.IMAGE_INDEX_SHARDS, after, answer -> {
-            if (term.hasEnded() || answer.status() != 200) {
+    /** Reads the shards other than the first, page by page. Rounds do not wait for them. */
+    private void loadShards(String after) {
+        term.environment.state().list(StateKeys.IMAGE_INDEX_SHARDS, after, response -> {
+            if (term.hasEnded() || response.status() != 200) {
                 return;
             }
-            String last = null;
-            for (Object element : Fields.getList(answer.body(), "rows")) {
+            String lastKey = null;
+            for (Object element : Fields.getList(response.body(), "rows")) {
                 Map<String, Object> row = Fields.asMap(element);
-                last = Fields.getString(row, "k");
-                restore(last, Fields.asMap(row.get("v")));
+                lastKey = Fields.getString(row, "k");
+                restore(lastKey, Fields.asMap(row.get("v")));
             }
-            if (Fields.getBoolean(answer.body(), "hasNext") && last != null) {
-                loadMore(last);
+            if (Fields.getBoolean(response.body(), "hasNext") && lastKey != null) {
+                loadShards(lastKey);
             }
         });
     }
 
-    /** Takes in a note as the last leader left it. */
+    /** Takes over a shard that the previous leader stored, as lists of images by machine name. */
     void restore(String key, Map<String, Object> imagesByMachine) {
-        stored.put(key, imagesByMachine);
+        storedShards.put(key, imagesByMachine);
         for (Map.Entry<String, Object> entry : imagesByMachine.entrySet()) {
             if (entry.getValue() instanceof List<?> images) {
                 term.cluster.setExpectedImages(
@@ -58,31 +59,31 @@
         }
     }
 
-    /** Writes what has changed, if it is time. */
+    /** Writes a few changed shards if the interval has passed. */
     void tick(double nowS) {
-        if (nowS < nextS) {
+        if (nowS < nextWriteS) {
             return;
         }
-        nextS = nowS + Constants.IMAGE_INDEX_INTERVAL_MS / 1000.0;
-        List<Map<String, Object>> notes = ImageIndexCodec.write(term.cluster.machines.values(), term.maxValueChars());
+        nextWriteS = nowS + Constants.IMAGE_INDEX_INTERVAL_MS / 1000.0;
+        List<Map<String, Object>> shards = ImageIndexCodec.write(term.cluster.machines.values(), term.maxValueChars());
         int written = 0;
-        for (int i = 0; i < notes.size() && written < Constants.IMAGE_INDEX_WRITES_PER_INTERVAL; i++) {
-            int note = (nextNote + i) % notes.size();
-            String key = StateKeys.imageIndexShard(note);
-            boolean same = notes.get(note).equals(stored.getOrDefault(key, Map.of()));
-            if (same || !term.isLeaseHeld(nowS) || !writes.tryAcquire(nowS, 1)) {
+        for (int i = 0; i < shards.size() && written < Constants.IMAGE_INDEX_WRITES_PER_INTERVAL; i++) {
+            int shardNumber = (nextShardNumber + i) % shards.size();
+            String key = StateKeys.imageIndexShard(shardNumber);
+            boolean unchanged = shards.get(shardNumber).equals(storedShards.getOrDefault(key, Map.of()));
+            if (unchanged || !term.isLeaseHeld(nowS) || !writeRateLimit.tryAcquire(nowS, 1)) {
                 continue;
             }
             written++;
-            write(key, notes.get(note));
+            write(key, shards.get(shardNumber));
         }
-        nextNote = (nextNote + Constants.IMAGE_INDEX_WRITES_PER_INTERVAL) % notes.size();
+        nextShardNumber = (nextShardNumber + Constants.IMAGE_INDEX_WRITES_PER_INTERVAL) % shards.size();
     }
 
-    private void write(String key, Map<String, Object> note) {
-        term.environment.state().commit(term.newFencedTransaction().put(key, note), answer -> {
-            if (answer.status() == 200) {
-                stored.put(key, note);
+    private void write(String key, Map<String, Object> shard) {
+        term.environment.state().commit(term.newFencedTransaction().put(key, shard), response -> {
+            if (response.status() == 200) {
+                storedShards.put(key, shard);
             }
         });
     }
--- a/src/main/java/org/mountlug/node/Leader.java
+++ b/src/main/java/org/mountlug/node/Leader.java
@@ -35,9 +35,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership: takes in the live work, answers workers and runs the rounds. What is decided is made durable by
- * {@link RecordWriter}, sent by {@link DirectCommandSender} or in answers to reports, and asked of the cloud by {@link MachineProvisioner}.
- * A new term gets a new object, so nothing of an older one survives. Runs on the I/O thread.
+ * One term of leadership: loads the live jobs, answers workers' reports and runs the scheduling rounds. {@link RecordWriter}
+ * makes its decisions durable, {@link DirectCommandSender} and the responses to reports carry commands to workers, and
+ * {@link MachineProvisioner} calls the cloud. Each term has a new object, so no state of an earlier term survives. Runs on the
+ * I/O thread.
  */
 final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
@@ -45,41 +46,41 @@
     private final LeaderTerm term;
     private final Cluster cluster;
     private final Settings settings;
-    private final Objectives aims;
+    private final Objectives objectives;
     private final Scaler scaler;
     private final Preemptor preemptor;
-    private final TokenBucket writes;
+    private final TokenBucket writeRateLimit;
     private final Metrics metrics;
-    private final JobRecordWatch records;
+    private final JobRecordWatch recordWatch;
     private final AnnouncedVersions versions;
-    private final RecordSplitter layout;
-    private final ZoneMonitor zones;
-    private final ZoneStateStore zoneStore;
-    private final ImageIndexStore images;
-    private final IntSupplier reportsElsewhere;
-    private final ReservationWriter reservations;
-    private final RecordWriter writer;
-    private final DirectCommandSender commands;
-    private final MachineProvisioner fleet;
-    private final AdmissionPublisher admission;
-    private final double beganS;
+    private final RecordSplitter recordSplitter;
+    private final ZoneMonitor zoneMonitor;
+    private final ZoneStateStore zoneStateStore;
+    private final ImageIndexStore imageIndex;
+    private final IntSupplier peerReportCount;
+    private final ReservationWriter reservationWriter;
+    private final RecordWriter recordWriter;
+    private final DirectCommandSender commandSender;
+    private final MachineProvisioner machineProvisioner;
+    private final AdmissionPublisher admissionPublisher;
+    private final double termStartedS;
     private boolean loaded;
     private double nextRoundS;
     private double lastRoundS;
-    /** Whether somebody waits for the next round by the second. */
-    private boolean roundWanted;
+    /** Whether the next round runs before its regular time, for a new urgent job or for capacity that has become free. */
+    private boolean earlyRoundRequested;
 
     Leader(
             Environment environment,
             Election election,
-            Objectives aims,
+            Objectives objectives,
             Collection<MachineType> types,
-            FinalStateCache finals,
+            FinalStateCache finalStates,
             Metrics metrics,
             IntSupplier peerReportCount,
-            AdmissionControl admission) {
-        this.reportsElsewhere = peerReportCount;
-        this.aims = aims;
+            AdmissionControl admissionControl) {
+        this.peerReportCount = peerReportCount;
+        this.objectives = objectives;
         this.metrics = metrics;
         settings = environment.settings();
         OperatorSettings operators = environment.operators();
@@ -87,47 +88,49 @@
         cluster = term.cluster;
         cluster.setMachineTypes(types);
         cluster.setValueLimitKib(settings.currentValueLimitKb());
-        zones = new ZoneMonitor(cluster, operators.zones(), settings.workerLeaseS(), settings.reportIntervalS());
+        zoneMonitor = new ZoneMonitor(cluster, operators.zones(), settings.workerLeaseS(), settings.reportIntervalS());
         scaler = new Scaler(
                 cluster,
-                zones,
-                aims,
+                zoneMonitor,
+                objectives,
                 settings.workerLeaseS(),
                 settings.reportIntervalS(),
                 operators.idleKeepS(),
                 operators.spotRisk());
         preemptor = new Preemptor(cluster);
         double writesPerS = settings.stateWriteRps() * Constants.LEADER_WRITE_SHARE;
-        writes = new TokenBucket(writesPerS, writesPerS);
-        beganS = term.nowS();
-        cluster.restartListening(beganS); // who was silent before was not silent to us
-        records = new JobRecordWatch(environment.state(), environment.clockS(), environment.timer(), new Records());
+        writeRateLimit = new TokenBucket(writesPerS, writesPerS);
+        termStartedS = term.nowS();
+        cluster.restartListening(termStartedS); // reports before this term went to another leader
+        recordWatch = new JobRecordWatch(
+                environment.state(), environment.clockS(), environment.timer(), new RecordListener());
         versions = new AnnouncedVersions(term);
-        layout = new RecordSplitter(term, versions);
-        images = new ImageIndexStore(term, writes);
-        zoneStore = new ZoneStateStore(term, writes, zones, versions);
-        reservations = new ReservationWriter(term);
-        writer = new RecordWriter(term, writes, layout, reservations, records, (job, done) -> {
-            finals.put(job.spec.id(), done, job.spec.tasks());
-            metrics.countFinishedJob(done);
-        });
-        commands = new DirectCommandSender(term);
-        fleet = new MachineProvisioner(term, scaler, writes, metrics);
-        this.admission = new AdmissionPublisher(term, writes, admission);
-        records.start();
+        recordSplitter = new RecordSplitter(term, versions);
+        imageIndex = new ImageIndexStore(term, writeRateLimit);
+        zoneStateStore = new ZoneStateStore(term, writeRateLimit, zoneMonitor, versions);
+        reservationWriter = new ReservationWriter(term);
+        recordWriter =
+                new RecordWriter(term, writeRateLimit, recordSplitter, reservationWriter, recordWatch, (job, done) -> {
+                    finalStates.put(job.spec.id(), done, job.spec.tasks());
+                    metrics.countFinishedJob(done);
+                });
+        commandSender = new DirectCommandSender(term);
+        machineProvisioner = new MachineProvisioner(term, scaler, writeRateLimit, metrics);
+        this.admissionPublisher = new AdmissionPublisher(term, writeRateLimit, admissionControl);
+        recordWatch.start();
     }
 
-    /** Takes in what another controller was asked to take in; {@code boot} names its process. */
-    void recordDemand(String controller, long boot, List<QueueDemand> demand) {
-        admission.recordDemand(controller, boot, demand);
+    /** Records the demand at another controller; {@code incarnation} names the life of its process. */
+    void recordDemand(String controller, long incarnation, List<QueueDemand> demand) {
+        admissionPublisher.recordDemand(controller, incarnation, demand);
     }
 
-    /** Seconds since this term began. */
+    /** Returns the seconds since this term began. */
     double termDurationS() {
-        return term.nowS() - beganS;
+        return term.nowS() - termStartedS;
     }
 
-    /** Machines that have been heard of and are not known to be gone. */
+    /** Returns the number of machines that have reported and that the machine list still shows. */
     int upMachineCount() {
         int up = 0;
         for (Machine machine : cluster.machines.values()) {
@@ -136,9 +139,9 @@
         return up;
     }
 
-    /** How the zones stand. */
+    /** Returns the current state of each zone. */
     List<ZoneStatus> zoneStatuses() {
-        return zones.status();
+        return zoneMonitor.status();
     }
 
     Cluster cluster() {
@@ -146,7 +149,7 @@
     }
 
     JobRecordWatch records() {
-        return records;
+        return recordWatch;
     }
 
     boolean isLoaded() {
@@ -157,8 +160,8 @@
         term.end();
     }
 
-    /** Takes in what the state service shows of live records. */
-    private final class Records implements JobRecordWatch.Listener {
+    /** Applies the records that {@link JobRecordWatch} reads to the cluster. */
+    private final class RecordListener implements JobRecordWatch.Listener {
         @Override
         public boolean isKnownJob(String id) {
             return cluster.jobs.containsKey(id);
@@ -166,11 +169,11 @@
 
         @Override
         public void addJob(Job job, double now) {
-            // Counted from its submission, or every change of leader would start its wait anew.
+            // The waiting time counts from the submission; otherwise it would start again with each change of leader.
             double ageS = (term.environment.epochMs().getAsLong() - job.spec.submittedMs()) / 1000.0;
             job.waitingSinceS = now - Math.max(0, ageS);
             cluster.loadJob(job, now);
-            roundWanted |= job.spec.isGang()
+            earlyRoundRequested |= job.spec.isGang()
                     || job.spec.isService()
                     || job.spec.request().gpus() > 0;
             if (job.cancelled && cluster.jobs.get(job.spec.id()) == job) {
@@ -180,21 +183,21 @@
         }
 
         @Override
-        public void updateJob(String id, Map<String, Object> record, long stamp, double now) {
+        public void updateJob(String id, Map<String, Object> record, long revision, double now) {
             Job job = cluster.jobs.get(id);
-            if (stamp <= job.revision) {
+            if (revision <= job.revision) {
                 return;
             }
             String writeId = Fields.getString(record, "w", "");
-            writer.confirmWatchedWrite(job, writeId, stamp);
+            recordWriter.confirmWatchedWrite(job, writeId, revision);
             if (!writeId.equals(job.writeId)) {
-                // Only a newer leader writes records, so this term is over; it went on watching while it was not
-                // served.
+                // Only a newer leader can have written this record, so this term is over. The watch went on while the
+                // state service did not answer this controller's other requests.
                 term.depose("record of " + id + " was written by another leader");
                 term.end();
                 return;
             }
-            job.revision = stamp;
+            job.revision = revision;
             if (JobRecordCodec.isCancelled(record)) {
                 cancelJob(id);
             }
@@ -202,17 +205,17 @@
 
         @Override
         public void addOrphanedKey(String key) {
-            writer.addOrphanedKey(key);
+            recordWriter.addOrphanedKey(key);
         }
 
         @Override
-        public void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> stamps) {
-            reservations.restore(byJob, stamps);
+        public void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> revisions) {
+            reservationWriter.restore(byJob, revisions);
         }
 
         @Override
         public void restoreImageIndex(Map<String, Object> byMachine) {
-            images.restore(StateKeys.IMAGE_INDEX, byMachine);
+            imageIndex.restore(StateKeys.IMAGE_INDEX, byMachine);
         }
 
         @Override
@@ -242,51 +245,52 @@
     // ---- workers ----------------------------------------------------------------------------------------------
 
     /**
-     * Whether workers' leases may be renewed: not after a cancelled task might be kept alive by that. A term that has not
-     * read the records knows of no cancellation, however old, and so may renew nothing.
+     * Whether workers' leases may be renewed. They may not if a renewal could keep a task running beyond the time limit of a
+     * cancellation that is not known to this term. A term that has not read the records knows of no cancellation, however
+     * old, and so may not renew any lease.
      */
     boolean mayRenewWorkerLeases(double nowS) {
         double goneAfterS = settings.workerLeaseS() * (1 + Constants.MAX_CLOCK_DRIFT) + Constants.CANCEL_MARGIN_S;
-        return nowS < records.cancellationsKnownUntilS() + settings.cancelWithinS() - goneAfterS;
+        return nowS < recordWatch.cancellationsKnownUntilS() + settings.cancelWithinS() - goneAfterS;
     }
 
-    /** Whether this worker must go without an answer, so that its lease runs out. */
+    /** Whether this worker's report must not be answered, so that its lease runs out. */
     boolean mustWithholdResponse(String machine) {
         return cluster.mustWithholdResponse(machine, term.nowS());
     }
 
-    /** Orders for a worker, or null if we are deposed. */
+    /** Applies a worker's report and returns the commands for it, or null if the worker knows a newer leader. */
     List<Command> handleReport(Report report) {
         double now = term.nowS();
         return cluster.handleReport(report, term.isLeaseHeld(now), now);
     }
 
-    // ---- the clock --------------------------------------------------------------------------------------------
+    // ---- periodic work ----------------------------------------------------------------------------------------
 
-    /** One turn of the node's clock. */
+    /** Runs everything periodic that is due; does nothing until the records have been loaded. */
     void tick() {
         if (term.hasEnded() || !loaded) {
             return;
         }
         double now = term.nowS();
         versions.tick(now);
-        layout.tick();
-        fleet.tick(now);
-        roundIfTime(now);
-        commands.send(now);
-        images.tick(now);
-        zoneStore.tick(now);
-        admission.tick(now);
-        writer.tick(now);
+        recordSplitter.tick();
+        machineProvisioner.tick(now);
+        runRoundIfDue(now);
+        commandSender.send(now);
+        imageIndex.tick(now);
+        zoneStateStore.tick(now);
+        admissionPublisher.tick(now);
+        recordWriter.tick(now);
     }
 
-    private void roundIfTime(double now) {
-        roundWanted |= cluster.takeCapacityFreed();
-        boolean early = roundWanted && now >= lastRoundS + Constants.MIN_EARLY_ROUND_DELAY_MS / 1000.0;
+    private void runRoundIfDue(double now) {
+        earlyRoundRequested |= cluster.takeCapacityFreed();
+        boolean early = earlyRoundRequested && now >= lastRoundS + Constants.MIN_EARLY_ROUND_DELAY_MS / 1000.0;
         if (now < nextRoundS && !early) {
             return;
         }
-        roundWanted = false;
+        earlyRoundRequested = false;
         lastRoundS = now;
         if (early) {
             nextRoundS = now + Constants.ROUND_INTERVAL_MS / 1000.0;
@@ -294,58 +298,59 @@
             nextRoundS = Math.max(
                     nextRoundS + Constants.ROUND_INTERVAL_MS / 1000.0, now + Constants.ROUND_INTERVAL_MS / 2000.0);
         }
-        round(now);
+        runRound(now);
         if (early) {
-            writer.requestImmediateFlush();
+            recordWriter.requestImmediateFlush();
         }
     }
 
-    private void round(double now) {
-        // Judging by silence needs a lease: otherwise another leader may be keeping the machines alive.
-        if (!term.isLeaseHeld(now) || !zoneStore.isReady()) {
+    private void runRound(double now) {
+        // Silence of a machine means something only while this controller holds the leader lease: otherwise the machine
+        // may be reporting to another leader.
+        if (!term.isLeaseHeld(now) || !zoneStateStore.isReady()) {
             return;
         }
         cluster.expireLeases(now);
-        zones.observe(reportsElsewhere.getAsInt(), now);
+        zoneMonitor.observe(peerReportCount.getAsInt(), now);
         cluster.updateStandbys(now);
-        zones.planFailback(now);
+        zoneMonitor.planFailback(now);
         scaler.drain(now);
         double epochS = term.environment.epochMs().getAsLong() / 1000.0;
-        ReplicaStartTimes times = new ReplicaStartTimes(job -> aims.dueWithinS(job.spec, 0), now);
+        ReplicaStartTimes replicaStartTimes = new ReplicaStartTimes(job -> objectives.dueWithinS(job.spec, 0), now);
         Allocator allocator = new Allocator(
                 cluster,
-                zones,
-                job -> aims.orderKey(job.spec, job.pendingTaskCount(), cluster.expectedRunS(job), epochS),
-                times,
+                zoneMonitor,
+                job -> objectives.orderKey(job.spec, job.pendingTaskCount(), cluster.expectedRunS(job), epochS),
+                replicaStartTimes,
                 now);
         metrics.countPlacedTasks(allocator.allocate());
-        preemptor.preemptFor(unplaced(epochS), allocator.machineViews(), allocator.usage(), times, now);
-        fleet.rentAndReturn(now, epochS);
-        log(cluster.takeEvents());
-        zones.takeTransitions().forEach(line -> LOG.info("{}", line));
-        metrics.setZoneStatuses(zones.status());
+        preemptor.preemptFor(unplacedJobs(epochS), allocator.machineViews(), allocator.usage(), replicaStartTimes, now);
+        machineProvisioner.rentAndReturn(now, epochS);
+        logEvents(cluster.takeEvents());
+        zoneMonitor.takeTransitions().forEach(line -> LOG.info("{}", line));
+        metrics.setZoneStatuses(zoneMonitor.status());
         metrics.setReservationCount(cluster.reservations.size());
         metrics.setFleetStatus(cluster.status(now));
     }
 
-    /** Jobs that wait for room, the most urgent first. */
-    private List<Job> unplaced(double nowEpochS) {
-        List<Job> unplaced = new ArrayList<>();
+    /** Returns the jobs with pending tasks, in displacement order if there is one, otherwise by priority and due time. */
+    private List<Job> unplacedJobs(double nowEpochS) {
+        List<Job> jobs = new ArrayList<>();
         for (Job job : cluster.jobs.values()) {
             if (!job.cancelled && job.pendingTaskCount() > 0) {
-                unplaced.add(job);
+                jobs.add(job);
             }
         }
-        DisplacementOrder displacement = zones.displacementOrder(
-                job -> aims.orderKey(job.spec, job.pendingTaskCount(), cluster.expectedRunS(job), nowEpochS));
-        Comparator<Job> ordinary = Comparator.comparing((Job job) -> job.spec.priority())
+        DisplacementOrder displacement = zoneMonitor.displacementOrder(
+                job -> objectives.orderKey(job.spec, job.pendingTaskCount(), cluster.expectedRunS(job), nowEpochS));
+        Comparator<Job> byPriority = Comparator.comparing((Job job) -> job.spec.priority())
                 .reversed()
-                .thenComparingDouble(job -> aims.dueEpochS(job.spec, job.spec.expectedRunS()));
-        unplaced.sort(displacement != null ? displacement : ordinary);
-        return unplaced;
+                .thenComparingDouble(job -> objectives.dueEpochS(job.spec, job.spec.expectedRunS()));
+        jobs.sort(displacement != null ? displacement : byPriority);
+        return jobs;
     }
 
-    private static void log(EventSummary events) {
+    private static void logEvents(EventSummary events) {
         for (String line : events.lines()) {
             LOG.info("{}", line);
         }
--- a/src/main/java/org/mountlug/node/LeaderTerm.java
+++ b/src/main/java/org/mountlug/node/LeaderTerm.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the parts of a leader share for one term: its picture of the cluster, its fencing token and whether the term is over.
- * Once it is, no timer and no answer of the term has any effect.
+ * State that the components of a leader share for one term: the cluster, which holds the fencing token, and whether the term
+ * has ended. After the end, timers and responses of the term have no effect.
  */
 final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
@@ -33,7 +33,7 @@
         return environment.clockS().getAsDouble();
     }
 
-    /** Whether the lease of the leader key is proven to be held at this time. */
+    /** Whether the leader lease is known to be held at this monotonic time. */
     boolean isLeaseHeld(double nowS) {
         return election.isLeaseHeld(nowS);
     }
@@ -46,13 +46,13 @@
         ended = true;
     }
 
-    /** Another leader was noticed: this controller leads no more. */
+    /** Ends this controller's leadership because another leader has been noticed. */
     void depose(String reason) {
         LOG.info("deposed: {}", reason);
         election.depose();
     }
 
-    /** Runs something after a while, unless the term is over by then. */
+    /** Runs a task after {@code ms} milliseconds, unless the term has ended by then. */
     void runLater(Runnable task, int ms) {
         Runnable guarded = () -> {
             if (!ended) {
@@ -62,12 +62,12 @@
         environment.timer().accept(guarded, ms);
     }
 
-    /** A transaction that succeeds only while this term's key is there. */
+    /** Returns a transaction that succeeds only while the leader key of this term exists. */
     Transaction newFencedTransaction() {
         return new Transaction().requireRevision(StateKeys.LEADER, cluster.token());
     }
 
-    /** Characters that a value may have, under the least of the limits in force and to come. */
+    /** Returns the maximum number of characters of a value, under the lower of the current and the announced limit. */
     int maxValueChars() {
         return (int) (environment.settings().strictestValueLimitKb() * 1024 * Constants.VALUE_FILL_SHARE);
     }
--- a/src/main/java/org/mountlug/node/MachineProvisioner.java
+++ b/src/main/java/org/mountlug/node/MachineProvisioner.java
@@ -18,233 +18,239 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's calls to the cloud: the catalogue, the list of machines, rentals and returns, within the cloud's budget. */
+/**
+ * Makes the leader's calls to the cloud: reads the machine types and the machine list, and rents and returns machines.
+ * Rentals keep within a share of the cloud's rate limit.
+ */
 final class MachineProvisioner {
     private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
-    /** Error of a request for machines of which there are none. */
-    private static final String NO_CAPACITY = "no capacity";
-    /** Error of every request while the interface is down. */
-    private static final String TROUBLE = "trouble";
+    /** The cloud's error for a rental from a capacity pool without free machines. */
+    private static final String NO_CAPACITY_ERROR = "no capacity";
+    /** The cloud's error for every request during an outage of its API. */
+    private static final String OUTAGE_ERROR = "trouble";
 
     private final LeaderTerm term;
     private final HttpTransport cloud;
     private final Scaler scaler;
-    private final TokenBucket writes;
-    private final TokenBucket calls;
+    private final TokenBucket writeRateLimit;
+    private final TokenBucket rentalRateLimit;
     private final Metrics metrics;
 
-    private final ArrayDeque<RentalRequest> rentals = new ArrayDeque<>();
-    private int rentalsOpen;
-    private boolean rentLater;
-    private double rentAgainS;
-    /** Whether the interface refused the last rental for another reason than a lack of machines. */
-    private boolean trouble;
+    private final ArrayDeque<RentalRequest> pendingRentals = new ArrayDeque<>();
+    private int rentalsInFlight;
+    private boolean rentalRetryScheduled;
+    private double rentNotBeforeS;
+    /** Whether the last answered rental was refused for another reason than a lack of machines. */
+    private boolean cloudUnavailable;
 
-    private boolean returning;
-    private boolean listing;
-    private boolean listed;
+    private boolean returnInFlight;
+    private boolean listInFlight;
+    private boolean hasMachineList;
     private double nextListS;
-    private double nextCatalogueS;
-    private boolean catalogueKept;
+    private double nextMachineTypesS;
+    private boolean machineTypesStored;
 
-    MachineProvisioner(LeaderTerm term, Scaler scaler, TokenBucket writes, Metrics metrics) {
+    MachineProvisioner(LeaderTerm term, Scaler scaler, TokenBucket writeRateLimit, Metrics metrics) {
         this.term = term;
         this.cloud = term.environment.cloud();
         this.scaler = scaler;
-        this.writes = writes;
+        this.writeRateLimit = writeRateLimit;
         this.metrics = metrics;
-        double rps = term.environment.settings().cloudRps() * Constants.RENT_CALL_SHARE;
-        calls = new TokenBucket(rps, rps * Constants.CLOUD_BURST_S);
+        double rentalsPerS = term.environment.settings().cloudRps() * Constants.RENT_CALL_SHARE;
+        rentalRateLimit = new TokenBucket(rentalsPerS, rentalsPerS * Constants.CLOUD_BURST_S);
     }
 
-    /** Reads the catalogue and the list whenever it is time. */
+    /** Reads the machine types and the machine list if they are due. */
     void tick(double nowS) {
-        if (nowS >= nextCatalogueS) {
-            readCatalogue(nowS);
+        if (nowS >= nextMachineTypesS) {
+            readMachineTypes(nowS);
         }
-        if (nowS >= nextListS && !listing) {
-            list(nowS, null, new ArrayList<>());
+        if (nowS >= nextListS && !listInFlight) {
+            listMachines(nowS, null, new ArrayList<>());
         }
     }
 
-    /** Rents and returns what the scaler decides. */
+    /** Rents and returns the machines that the scaler has chosen. */
     void rentAndReturn(double nowS, double nowEpochS) {
-        if (nowS < rentAgainS) {
-            rentals.clear();
+        if (nowS < rentNotBeforeS) {
+            pendingRentals.clear();
         }
-        // Until the first list a new leader does not know of the idle machines, and would rent them all again.
-        if (listed && rentals.isEmpty() && rentalsOpen == 0 && nowS >= rentAgainS) {
-            rentals.addAll(scaler.planRentals(nowS, nowEpochS));
-            rentNext();
+        // Before it has read the machine list, a new leader does not know of idle machines and would rent too many.
+        if (hasMachineList && pendingRentals.isEmpty() && rentalsInFlight == 0 && nowS >= rentNotBeforeS) {
+            pendingRentals.addAll(scaler.planRentals(nowS, nowEpochS));
+            sendPendingRentals();
         }
-        if (!returning) {
-            release(scaler.planReturns(nowS, nowEpochS));
+        if (!returnInFlight) {
+            returnMachines(scaler.planReturns(nowS, nowEpochS));
         }
     }
 
-    private void readCatalogue(double nowS) {
-        nextCatalogueS = nowS + Constants.MACHINE_TYPES_INTERVAL_MS / 1000.0;
-        cloud.call(Methods.GET, "/flavors", null, Constants.CLOUD_TIMEOUT_MS, answer -> {
+    private void readMachineTypes(double nowS) {
+        nextMachineTypesS = nowS + Constants.MACHINE_TYPES_INTERVAL_MS / 1000.0;
+        cloud.call(Methods.GET, "/flavors", null, Constants.CLOUD_TIMEOUT_MS, response -> {
             if (term.hasEnded()) {
                 return;
             }
-            if (answer.status() != 200) {
-                nextCatalogueS = term.nowS() + Constants.CATALOGUE_RETRY_S;
+            if (response.status() != 200) {
+                nextMachineTypesS = term.nowS() + Constants.CATALOGUE_RETRY_S;
                 return;
             }
-            boolean first = term.cluster.types().isEmpty();
-            List<MachineType> types = CloudCodec.readMachineTypes(answer.body());
+            boolean firstTime = term.cluster.types().isEmpty();
+            List<MachineType> types = CloudCodec.readMachineTypes(response.body());
             term.cluster.setMachineTypes(types);
-            if (first || !catalogueKept) {
-                keepCatalogue(types);
+            if (firstTime || !machineTypesStored) {
+                storeMachineTypes(types);
             }
         });
     }
 
-    /** A help for nodes that start while the cloud is down; one too large for a value is not kept. */
-    private void keepCatalogue(List<MachineType> types) {
-        Map<String, Object> kept = CloudCodec.writeMachineTypes(types);
-        if (Json.length(kept) > term.maxValueChars() || !writes.tryAcquire(term.nowS(), 1)) {
+    /**
+     * Stores the machine types for controllers that start while the cloud's API is down. A list too large for one value is
+     * not stored.
+     */
+    private void storeMachineTypes(List<MachineType> types) {
+        Map<String, Object> value = CloudCodec.writeMachineTypes(types);
+        if (Json.length(value) > term.maxValueChars() || !writeRateLimit.tryAcquire(term.nowS(), 1)) {
             return;
         }
         term.environment
                 .state()
                 .commit(
-                        term.newFencedTransaction().put(StateKeys.CATALOGUE, kept),
-                        answer -> catalogueKept = answer.status() == 200);
+                        term.newFencedTransaction().put(StateKeys.CATALOGUE, value),
+                        response -> machineTypesStored = response.status() == 200);
     }
 
-    private void list(double nowS, String after, List<ListedMachine> sofar) {
-        listing = true;
+    private void listMachines(double nowS, String after, List<ListedMachine> machines) {
+        listInFlight = true;
         nextListS = nowS + Constants.MACHINE_LIST_INTERVAL_MS / 1000.0;
         String path = "/hosts?" + (after == null ? "" : "after=" + after + "&") + "page=500";
-        cloud.call(Methods.GET, path, null, Constants.CLOUD_TIMEOUT_MS, answer -> {
-            listing = false;
-            if (term.hasEnded() || answer.status() != 200) {
+        cloud.call(Methods.GET, path, null, Constants.CLOUD_TIMEOUT_MS, response -> {
+            listInFlight = false;
+            if (term.hasEnded() || response.status() != 200) {
                 return;
             }
-            sofar.addAll(CloudCodec.listedMachines(answer.body()));
-            if (CloudCodec.hasNextPage(answer.body()) && !sofar.isEmpty()) {
-                list(nowS, sofar.get(sofar.size() - 1).name(), sofar);
+            machines.addAll(CloudCodec.listedMachines(response.body()));
+            if (CloudCodec.hasNextPage(response.body()) && !machines.isEmpty()) {
+                listMachines(nowS, machines.get(machines.size() - 1).name(), machines);
             } else {
-                listed(sofar);
+                applyMachineList(machines);
             }
         });
     }
 
-    private void listed(List<ListedMachine> all) {
-        listed = true;
+    private void applyMachineList(List<ListedMachine> machines) {
+        hasMachineList = true;
         double lagS = term.environment.settings().cloudListLagS();
-        List<String> failed = term.cluster.applyMachineList(all, lagS, term.nowS());
-        if (!failed.isEmpty()) {
+        List<String> failedMachines = term.cluster.applyMachineList(machines, lagS, term.nowS());
+        if (!failedMachines.isEmpty()) {
             cloud.call(
                     Methods.POST,
                     "/hosts/release",
-                    CloudCodec.returnRequest(failed),
+                    CloudCodec.returnRequest(failedMachines),
                     Constants.CLOUD_TIMEOUT_MS,
-                    answer -> {});
+                    response -> {});
         }
     }
 
-    private void rentNext() {
-        while (!term.hasEnded() && rentalsOpen < Constants.MAX_OPEN_RENTALS && !rentals.isEmpty()) {
-            if (!calls.tryAcquire(term.nowS(), 1)) {
-                rentWhenBudgetAllows();
+    private void sendPendingRentals() {
+        while (!term.hasEnded() && rentalsInFlight < Constants.MAX_OPEN_RENTALS && !pendingRentals.isEmpty()) {
+            if (!rentalRateLimit.tryAcquire(term.nowS(), 1)) {
+                scheduleRentalRetry();
                 return;
             }
-            rentalsOpen++;
-            rent(rentals.poll(), 0);
+            rentalsInFlight++;
+            sendRental(pendingRentals.poll(), 0);
         }
     }
 
-    private void rentWhenBudgetAllows() {
-        if (rentLater) {
+    private void scheduleRentalRetry() {
+        if (rentalRetryScheduled) {
             return;
         }
-        rentLater = true;
-        Runnable again = () -> {
-            rentLater = false;
-            rentNext();
+        rentalRetryScheduled = true;
+        Runnable retry = () -> {
+            rentalRetryScheduled = false;
+            sendPendingRentals();
         };
-        term.runLater(again, Constants.RENTAL_RATE_LIMIT_RETRY_MS);
+        term.runLater(retry, Constants.RENTAL_RATE_LIMIT_RETRY_MS);
     }
 
-    private void rent(RentalRequest rental, int tries) {
-        cloud.call(Methods.POST, "/hosts", CloudCodec.rentalRequest(rental), Constants.CLOUD_TIMEOUT_MS, answer -> {
+    private void sendRental(RentalRequest rental, int retries) {
+        cloud.call(Methods.POST, "/hosts", CloudCodec.rentalRequest(rental), Constants.CLOUD_TIMEOUT_MS, response -> {
             if (term.hasEnded()) {
                 return;
             }
-            if (answer.isMissing() && tries < Constants.MAX_RENTAL_RETRIES) {
-                // The same name gives the same machines.
-                term.runLater(() -> rent(rental, tries + 1), Constants.RENTAL_RETRY_MS);
+            if (response.isMissing() && retries < Constants.MAX_RENTAL_RETRIES) {
+                // A repeated request with the same rental name returns the same machines.
+                term.runLater(() -> sendRental(rental, retries + 1), Constants.RENTAL_RETRY_MS);
                 return;
             }
-            if (answer.status() == 200) {
-                rented(rental, CloudCodec.rentedNames(answer.body()));
-            } else if (answer.status() == 503 || answer.status() == 429) {
-                refused(rental, String.valueOf(answer.body().get("error")), answer.status());
+            if (response.status() == 200) {
+                recordRented(rental, CloudCodec.rentedNames(response.body()));
+            } else if (response.status() == 503 || response.status() == 429) {
+                recordRefused(rental, String.valueOf(response.body().get("error")), response.status());
             }
-            rentalsOpen--;
-            rentNext();
+            rentalsInFlight--;
+            sendPendingRentals();
         });
     }
 
-    private void rented(RentalRequest rental, List<String> names) {
+    private void recordRented(RentalRequest rental, List<String> names) {
         double nowS = term.nowS();
         for (String name : names) {
             term.cluster.addRentedMachine(name, rental.type(), rental.zone(), rental.spot(), nowS);
         }
-        LOG.info("rented {} of {} {}", names.size(), rental.count(), rental.pool());
-        LOG.debug("rented {}", names);
-        noteTrouble(false);
+        LOG.info("rented {} of {} requested machines: {}", names.size(), rental.count(), rental.pool());
+        LOG.debug("rented machines {}", names);
+        setCloudUnavailable(false);
         if (names.size() < rental.count()) {
-            exhausted(rental, nowS);
+            recordExhaustedPool(rental, nowS);
         } else if (scaler.recordServed(rental)) {
-            LOG.info("{} to be had again", rental.pool());
+            LOG.info("capacity pool {} has machines again", rental.pool());
         }
     }
 
-    private void refused(RentalRequest rental, String error, int status) {
+    private void recordRefused(RentalRequest rental, String error, int status) {
         metrics.countRefusedRental();
-        noteTrouble(!NO_CAPACITY.equals(error));
-        if (!TROUBLE.equals(error) && status == 503) {
-            exhausted(rental, term.nowS());
+        setCloudUnavailable(!NO_CAPACITY_ERROR.equals(error));
+        if (!OUTAGE_ERROR.equals(error) && status == 503) {
+            recordExhaustedPool(rental, term.nowS());
         } else {
-            // The whole interface is down or we ask too much.
-            rentAgainS = term.nowS() + Constants.CLOUD_ERROR_PAUSE_S;
+            // The cloud's API is down, or the controllers have exceeded its rate limit.
+            rentNotBeforeS = term.nowS() + Constants.CLOUD_ERROR_PAUSE_S;
         }
     }
 
-    /** Notes in the log when the interface begins to refuse everything, and when that is over. */
-    private void noteTrouble(boolean now) {
-        if (now != trouble) {
-            LOG.info(now ? "the cloud's interface refuses requests" : "the cloud's interface serves again");
+    /** Logs when the cloud's API begins to refuse every rental, and when it accepts rentals again. */
+    private void setCloudUnavailable(boolean unavailable) {
+        if (unavailable != cloudUnavailable) {
+            LOG.info(unavailable ? "the cloud's API refuses rentals" : "the cloud's API accepts rentals again");
         }
-        trouble = now;
+        cloudUnavailable = unavailable;
     }
 
-    /** There are no more of this kind now, so what else was to be asked of it is not. */
-    private void exhausted(RentalRequest rental, double nowS) {
+    /** Records that the cloud has no more machines in the rental's capacity pool, and drops the pending rentals from it. */
+    private void recordExhaustedPool(RentalRequest rental, double nowS) {
         if (scaler.recordRefused(rental, nowS)) {
-            LOG.info("no more {} for now", rental.pool());
+            LOG.info("capacity pool {} is exhausted for now", rental.pool());
         }
-        rentals.removeIf(other -> other.pool().equals(rental.pool()));
+        pendingRentals.removeIf(other -> other.pool().equals(rental.pool()));
     }
 
-    private void release(List<String> names) {
+    private void returnMachines(List<String> names) {
         if (names.isEmpty()) {
             return;
         }
-        returning = true;
+        returnInFlight = true;
         List<String> returned = new ArrayList<>(names);
         cloud.call(
                 Methods.POST,
                 "/hosts/release",
                 CloudCodec.returnRequest(returned),
                 Constants.CLOUD_TIMEOUT_MS,
-                answer -> {
-                    returning = false;
-                    if (term.hasEnded() || answer.status() != 200) {
+                response -> {
+                    returnInFlight = false;
+                    if (term.hasEnded() || response.status() != 200) {
                         return;
                     }
                     for (String name : returned) {
--- a/src/main/java/org/mountlug/node/RecordSplitter.java
+++ b/src/main/java/org/mountlug/node/RecordSplitter.java
@@ -8,13 +8,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Whether records may be stored in parts, which an older version does not read, and which jobs must be. */
+/**
+ * Decides which jobs are stored in record parts. Parts are written only once every controller can read them, because older
+ * versions cannot.
+ */
 final class RecordSplitter {
     private static final Logger LOG = LoggerFactory.getLogger(RecordSplitter.class);
 
     private final LeaderTerm term;
-    /** Whether every controller is durably known to read parts. */
-    private boolean parts;
+    /** Whether every controller has announced durably that it reads parts. */
+    private boolean partsAllowed;
 
     private final AnnouncedVersions versions;
 
@@ -23,19 +26,19 @@
         this.versions = versions;
     }
 
-    /** Notices when parts may be written. */
+    /** Allows parts as soon as every controller has announced that it reads them. */
     void tick() {
-        if (!parts && versions.allReadParts()) {
+        if (!partsAllowed && versions.allReadParts()) {
             allowParts();
         }
     }
 
     private void allowParts() {
-        LOG.info("every controller reads parts of records; they are written from now on");
-        parts = true;
+        LOG.info("every controller reads parts of records; large records are split from now on");
+        partsAllowed = true;
         term.cluster.allowRecordParts();
         double nowS = term.nowS();
-        // What may be larger than the limits to come is written anew while nobody waits for it.
+        // Records that may exceed an announced lower value limit are rewritten in parts now, without urgency.
         for (Job job : term.cluster.jobs.values()) {
             if (mustSplit(job)) {
                 job.markChanged(nowS, false);
@@ -43,25 +46,30 @@
         }
     }
 
-    /** Whether a job may grow beyond what its own record holds. */
+    /** Whether the job must be split, because its progress may grow beyond what its main record can hold. */
     boolean mustSplit(Job job) {
-        return parts && !job.isSplit() && job.spec.tasks() > layout(job).ownTasks();
+        return partsAllowed
+                && !job.isSplit()
+                && job.spec.tasks() > partLayout(job).ownTasks();
     }
 
-    private JobRecordCodec.PartLayout layout(Job job) {
+    private JobRecordCodec.PartLayout partLayout(Job job) {
         return JobRecordCodec.layoutFor(job.storedSpec, term.maxValueChars(), term.cluster.maxMachineNameLength());
     }
 
-    /** From now on the job is stored in parts. */
+    /**
+     * Splits the job's record into parts. If its specification alone does not fit into a record, machine types that the
+     * cloud does not offer are left out of the stored specification.
+     */
     void split(Job job, double nowS) {
         if (!JobRecordCodec.fits(job.storedSpec, term.maxValueChars())) {
-            Set<String> types = new HashSet<>();
+            Set<String> knownTypes = new HashSet<>();
             for (MachineType type : term.cluster.types()) {
-                types.add(type.name());
+                knownTypes.add(type.name());
             }
-            job.storedSpec = job.storedSpec.withKnownMachineTypes(types);
+            job.storedSpec = job.storedSpec.withKnownMachineTypes(knownTypes);
         }
-        JobRecordCodec.PartLayout layout = layout(job);
+        JobRecordCodec.PartLayout layout = partLayout(job);
         job.splitIntoParts(layout.ownTasks(), layout.tasksPerPart(), nowS);
     }
 }
--- a/src/main/java/org/mountlug/node/RecordWriter.java
+++ b/src/main/java/org/mountlug/node/RecordWriter.java
@@ -21,66 +21,83 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes the leader's decisions durable: one transaction on its way at a time, of the jobs that changed, in the order in which
- * somebody waits for them. A transaction without an answer is sent again unchanged until there is a definite one.
+ * Writes the leader's decisions to the state service. At most one transaction is in flight; it holds the changed jobs, the
+ * urgent ones first. A transaction without a response is sent again unchanged until a response says whether it was executed.
  */
 final class RecordWriter {
     private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
-    /** A job in a transaction: which of its parts, as of which version; {@code own} false if only parts written ahead. */
-    private record Item(Job job, boolean over, boolean done, boolean own, int[] parts, long version, String writeId) {}
-
-    /** A transaction that is being put together. */
-    private static final class Draft {
-        final Transaction change;
-        final int room;
-        final List<Item> items = new ArrayList<>();
-        int used;
-        int bytes;
-
-        Draft(Transaction change, int room) {
-            this.change = change;
-            this.room = room;
+    /**
+     * The writes of one job in a transaction.
+     *
+     * @param finished whether the live record is replaced by a final record
+     * @param done whether the final record says done; false for a live job
+     * @param includesMainRecord false if the transaction holds only staged parts of the job
+     * @param parts numbers of the record parts in the transaction
+     * @param version the job's version that is written
+     * @param writeId identity of this write, stored in the main record
+     */
+    private record JobWrite(
+            Job job,
+            boolean finished,
+            boolean done,
+            boolean includesMainRecord,
+            int[] parts,
+            long version,
+            String writeId) {}
+
+    /** A transaction under construction, with its size so far. */
+    private static final class TransactionDraft {
+        final Transaction transaction;
+        final int maxWrites;
+        final List<JobWrite> jobWrites = new ArrayList<>();
+        int writeCount;
+        int valueBytes;
+
+        TransactionDraft(Transaction transaction, int maxWrites) {
+            this.transaction = transaction;
+            this.maxWrites = maxWrites;
         }
 
         void put(String key, Map<String, Object> value) {
-            change.put(key, value);
-            bytes += Json.length(value) + Constants.WRITE_OVERHEAD_BYTES;
-            used++;
+            transaction.put(key, value);
+            valueBytes += Json.length(value) + Constants.WRITE_OVERHEAD_BYTES;
+            writeCount++;
         }
 
-        boolean full() {
-            return used >= room || bytes > Constants.MAX_TXN_BYTES;
+        boolean isFull() {
+            return writeCount >= maxWrites || valueBytes > Constants.MAX_TXN_BYTES;
         }
     }
 
-    /** Told when a job has moved to the finished ones and its outcome is known. */
+    /** Receives the jobs whose final record is durable and whose outcome is known. */
     interface FinishedJobListener {
         void onJobFinished(Job job, boolean done);
     }
 
     private final LeaderTerm term;
     private final StateClient state;
-    private final TokenBucket writes;
-    private final RecordSplitter layout;
+    private final TokenBucket writeRateLimit;
+    private final RecordSplitter recordSplitter;
     private final ReservationWriter reservations;
-    private final JobRecordWatch records;
-    private final FinishedJobListener finished;
-
-    /** Keys that nothing needs any more, deleted when there is room for it. */
-    private final ArrayDeque<String> orphans = new ArrayDeque<>();
-    /** Keys of {@link #orphans} in the transaction on its way. */
-    private int orphansInFlight;
-    /** How many transactions to come hold one job each, to find the one that the state service refuses. */
-    private int oneByOne;
-    /** By job, until when it is not written, as a change of it was refused for good. */
-    private final Map<String, Double> refusedUntil = new HashMap<>();
-
-    private List<Item> inFlight;
-    private Transaction change;
-    private boolean waiting;
-    /** Whether a copy of the transaction on its way may have been executed or yet be. */
-    private boolean unknown;
+    private final JobRecordWatch recordWatch;
+    private final FinishedJobListener finishedJobListener;
+
+    /** Stored keys that nothing refers to, deleted when a transaction has writes to spare. */
+    private final ArrayDeque<String> orphanedKeys = new ArrayDeque<>();
+    /** Number of keys, from the front of {@link #orphanedKeys}, that the transaction in flight deletes. */
+    private int orphanedKeysInFlight;
+    /** Number of following transactions that hold one job each, to find the job whose write the state service rejects. */
+    private int singleJobTransactionsLeft;
+    /** By job ID: the monotonic time before which the job is not written, because the state service rejected its write. */
+    private final Map<String, Double> refusedUntilS = new HashMap<>();
+
+    private List<JobWrite> jobWritesInFlight;
+    private Transaction transactionInFlight;
+    /** Whether a transaction, or the reading of its records after a failure, has not been answered yet. */
+    private boolean awaitingStateService;
+    /** Whether an earlier copy of the transaction in flight may have been executed or may still be executed. */
+    private boolean outcomeUncertain;
 
     private double retryAtS;
     private double nextFlushS;
@@ -88,31 +105,31 @@
 
     RecordWriter(
             LeaderTerm term,
-            TokenBucket writes,
-            RecordSplitter layout,
+            TokenBucket writeRateLimit,
+            RecordSplitter recordSplitter,
             ReservationWriter reservations,
-            JobRecordWatch records,
-            FinishedJobListener finished) {
+            JobRecordWatch recordWatch,
+            FinishedJobListener finishedJobListener) {
         this.term = term;
         this.state = term.environment.state();
-        this.writes = writes;
-        this.layout = layout;
+        this.writeRateLimit = writeRateLimit;
+        this.recordSplitter = recordSplitter;
         this.reservations = reservations;
-        this.records = records;
-        this.finished = finished;
+        this.recordWatch = recordWatch;
+        this.finishedJobListener = finishedJobListener;
     }
 
-    /** A key of an earlier leader that nothing needs any more. */
+    /** Schedules the deletion of a key that an earlier leader left and that nothing refers to. */
     void addOrphanedKey(String key) {
-        orphans.add(key);
+        orphanedKeys.add(key);
     }
 
-    /** The next flush waits for nothing. */
+    /** Makes the next tick flush at once instead of at the end of the flush interval. */
     void requestImmediateFlush() {
         nextFlushS = 0;
     }
 
-    /** Writes what has changed, whenever it is time. */
+    /** Writes the changed jobs and reservations if the flush interval has passed. */
     void tick(double nowS) {
         if (nowS >= nextFlushS) {
             nextFlushS = nowS + Constants.FLUSH_INTERVAL_MS / 1000.0;
@@ -120,214 +137,230 @@
         }
     }
 
-    /** The watch shows a record with this write's identity: our own on its way, whose answer may yet come or be lost. */
-    void confirmWatchedWrite(Job job, String writeId, long stamp) {
-        if (inFlight == null) {
+    /**
+     * Marks a write in flight as durable if the watch has shown a record with its identity: the response to the transaction
+     * may be late or lost.
+     */
+    void confirmWatchedWrite(Job job, String writeId, long revision) {
+        if (jobWritesInFlight == null) {
             return;
         }
-        for (Item item : inFlight) {
-            if (item.job == job && item.own && item.writeId.equals(writeId)) {
-                persisted(item, stamp);
+        for (JobWrite jobWrite : jobWritesInFlight) {
+            if (jobWrite.job == job && jobWrite.includesMainRecord && jobWrite.writeId.equals(writeId)) {
+                markWritten(jobWrite, revision);
             }
         }
     }
 
-    // ---- putting a transaction together -------------------------------------------------------------------------
+    // ---- building a transaction -----------------------------------------------------------------------------------
 
     private void flush(double nowS) {
-        if (waiting || nowS < retryAtS) {
+        if (awaitingStateService || nowS < retryAtS) {
             return;
         }
-        if (change != null) {
-            send();
+        if (transactionInFlight != null) {
+            sendTransaction();
             return;
         }
         if (!term.isLeaseHeld(nowS)) {
             return;
         }
         int txnOps = term.environment.settings().txnOps();
-        int room = (int) Math.min(txnOps, Math.floor(writes.available(nowS) + 1e-9));
-        if (room < 1) {
+        int maxWrites = (int) Math.min(txnOps, Math.floor(writeRateLimit.available(nowS) + 1e-9));
+        if (maxWrites < 1) {
             return;
         }
-        Draft draft = new Draft(term.newFencedTransaction(), room);
-        if (!fill(draft, txnOps, nowS) || draft.used == 0) {
+        TransactionDraft draft = new TransactionDraft(term.newFencedTransaction(), maxWrites);
+        if (!addWrites(draft, txnOps, nowS) || draft.writeCount == 0) {
             return;
         }
-        writes.tryAcquire(nowS, draft.used);
-        inFlight = draft.items;
-        change = draft.change;
-        unknown = false;
-        send();
+        writeRateLimit.tryAcquire(nowS, draft.writeCount);
+        jobWritesInFlight = draft.jobWrites;
+        transactionInFlight = draft.transaction;
+        outcomeUncertain = false;
+        sendTransaction();
     }
 
-    /** Puts in what there is room for; false if a job must wait until the budget covers it. */
-    private boolean fill(Draft draft, int txnOps, double nowS) {
-        List<Job> dirty = dirty(nowS);
-        boolean alone = oneByOne > 0;
-        if (alone && !dirty.isEmpty()) {
+    /**
+     * Adds writes up to the limits of the draft. Returns false if the first job needs more writes than the rate limit
+     * allows now, so that nothing may be sent until it allows them.
+     */
+    private boolean addWrites(TransactionDraft draft, int txnOps, double nowS) {
+        List<Job> jobs = jobsToWrite(nowS);
+        boolean singleJob = singleJobTransactionsLeft > 0;
+        if (singleJob && !jobs.isEmpty()) {
             reservations.clearInFlight();
         } else {
-            draft.used = reservations.addChangesTo(draft.change, draft.room, nowS);
-        }
-        for (Job job : dirty) {
-            // At least one part with the job's own record, or a job of many parts would be put off for ever.
-            int cost = job.isFinished() || job.partsToWrite(1).length > 0 ? 2 : 1;
-            if (draft.used + cost > draft.room) {
-                if (draft.used > 0) {
+            draft.writeCount = reservations.addChangesTo(draft.transaction, draft.maxWrites, nowS);
+        }
+        for (Job job : jobs) {
+            // A job with changed parts needs its main record and at least one part in a transaction. With less, a job
+            // of
+            // many parts would never be written completely.
+            int minWrites = job.isFinished() || job.partsToWrite(1).length > 0 ? 2 : 1;
+            if (draft.writeCount + minWrites > draft.maxWrites) {
+                if (draft.writeCount > 0) {
                     break;
                 }
-                if (txnOps >= cost) {
+                if (txnOps >= minWrites) {
                     return false;
                 }
             }
-            add(draft, job, nowS);
-            if (alone || draft.full()) {
+            addJob(draft, job, nowS);
+            if (singleJob || draft.isFull()) {
                 break;
             }
         }
-        if (alone) {
-            oneByOne--;
+        if (singleJob) {
+            singleJobTransactionsLeft--;
         }
-        addOrphans(draft, alone);
+        addOrphanedKeyDeletes(draft, singleJob);
         return true;
     }
 
-    /** Jobs to write, those first that somebody waits for. */
-    private List<Job> dirty(double nowS) {
-        List<Job> dirty = new ArrayList<>();
+    /** Returns the jobs to write: services first, then finished jobs, then urgent changes, then the oldest changes. */
+    private List<Job> jobsToWrite(double nowS) {
+        List<Job> jobs = new ArrayList<>();
         for (Job job : term.cluster.jobs.values()) {
             if (job.isFinished() && !job.isDirty()) {
                 job.markChanged(nowS, true);
             }
-            if (nowS < refusedUntil.getOrDefault(job.spec.id(), 0.0)) {
+            if (nowS < refusedUntilS.getOrDefault(job.spec.id(), 0.0)) {
                 continue;
             }
             if (job.isDirty() && (job.writeUrgent || nowS - job.dirtySinceS > Constants.LAZY_FLUSH_DELAY_MS / 1000.0)) {
-                dirty.add(job);
+                jobs.add(job);
             }
         }
-        dirty.sort(Comparator.comparing((Job job) -> !job.spec.isService())
+        jobs.sort(Comparator.comparing((Job job) -> !job.spec.isService())
                 .thenComparing(job -> !job.isFinished())
                 .thenComparing(job -> !job.writeUrgent)
                 .thenComparingDouble(job -> job.dirtySinceS));
-        return dirty;
+        return jobs;
     }
 
-    private void add(Draft draft, Job job, double nowS) {
+    private void addJob(TransactionDraft draft, Job job, double nowS) {
         String id = job.spec.id();
         String writeId = term.cluster.token() + "." + ++writeCounter;
-        draft.change.requireRevision(StateKeys.LIVE_JOBS + id, job.revision);
+        draft.transaction.requireRevision(StateKeys.LIVE_JOBS + id, job.revision);
         if (job.isFinished()) {
-            draft.change.delete(StateKeys.LIVE_JOBS + id);
-            draft.change.put(StateKeys.FINAL_RECORDS + id, JobRecordCodec.finalRecord(job.isDone(), job.spec.tasks()));
-            draft.used += 2;
-            draft.items.add(new Item(job, true, job.isDone(), true, new int[0], job.version, writeId));
+            draft.transaction.delete(StateKeys.LIVE_JOBS + id);
+            draft.transaction.put(
+                    StateKeys.FINAL_RECORDS + id, JobRecordCodec.finalRecord(job.isDone(), job.spec.tasks()));
+            draft.writeCount += 2;
+            draft.jobWrites.add(new JobWrite(job, true, job.isDone(), true, new int[0], job.version, writeId));
             return;
         }
-        if (layout.mustSplit(job)) {
-            layout.split(job, nowS);
-        }
-        int left = draft.room - draft.used;
-        int[] all = job.partsToWrite(left + 1);
-        // The record that says that there are parts is written last: until then the old one, which nothing replaces,
-        // holds all that is durable, and what is written ahead counts for nothing.
-        boolean own = !job.isSplitPending() || all.length < left;
-        int[] some = Arrays.copyOf(all, Math.min(all.length, left - (own ? 1 : 0)));
-        if (own) {
+        if (recordSplitter.mustSplit(job)) {
+            recordSplitter.split(job, nowS);
+        }
+        int writesLeft = draft.maxWrites - draft.writeCount;
+        int[] partsToWrite = job.partsToWrite(writesLeft + 1);
+        // While a split is pending, the main record that refers to the parts is written with the last of them. Until
+        // then the previous record stays valid and holds everything durable; staged parts have no effect.
+        boolean includesMainRecord = !job.isSplitPending() || partsToWrite.length < writesLeft;
+        int[] includedParts =
+                Arrays.copyOf(partsToWrite, Math.min(partsToWrite.length, writesLeft - (includesMainRecord ? 1 : 0)));
+        if (includesMainRecord) {
             draft.put(StateKeys.LIVE_JOBS + id, JobRecordCodec.write(job, writeId));
         }
-        for (int part : some) {
+        for (int part : includedParts) {
             draft.put(JobRecordCodec.partKey(id, part), JobRecordCodec.writePart(job, part));
         }
-        draft.items.add(new Item(job, false, false, own, some, job.version, writeId));
+        draft.jobWrites.add(new JobWrite(job, false, false, includesMainRecord, includedParts, job.version, writeId));
     }
 
-    private void addOrphans(Draft draft, boolean alone) {
-        orphansInFlight = 0;
-        for (String key : orphans) {
-            if (alone || draft.used >= draft.room || orphansInFlight >= Constants.MAX_ORPHANED_KEYS_PER_TXN) {
+    private void addOrphanedKeyDeletes(TransactionDraft draft, boolean singleJob) {
+        orphanedKeysInFlight = 0;
+        for (String key : orphanedKeys) {
+            if (singleJob
+                    || draft.writeCount >= draft.maxWrites
+                    || orphanedKeysInFlight >= Constants.MAX_ORPHANED_KEYS_PER_TXN) {
                 break;
             }
-            draft.change.delete(key);
-            orphansInFlight++;
-            draft.used++;
+            draft.transaction.delete(key);
+            orphanedKeysInFlight++;
+            draft.writeCount++;
         }
     }
 
-    // ---- what becomes of it -------------------------------------------------------------------------------------
+    // ---- handling the response ------------------------------------------------------------------------------------
 
-    private void send() {
-        waiting = true;
-        state.commit(change, answer -> {
-            waiting = false;
+    private void sendTransaction() {
+        awaitingStateService = true;
+        state.commit(transactionInFlight, response -> {
+            awaitingStateService = false;
             if (!term.hasEnded()) {
-                answered(answer);
+                handleResponse(response);
             }
         });
     }
 
-    private void answered(PooledHttpClient.Response answer) {
+    private void handleResponse(PooledHttpClient.Response response) {
         double nowS = term.nowS();
-        switch (answer.status()) {
-            case 200 -> stored(Fields.getLong(answer.body(), "epoch", 0));
-            case 409 -> conditionFailed(Fields.getList(answer.body(), "failed"), nowS);
+        switch (response.status()) {
+            case 200 -> handleCommit(Fields.getLong(response.body(), "epoch", 0));
+            case 409 -> handleFailedCondition(Fields.getList(response.body(), "failed"), nowS);
             case 400 -> {
-                LOG.error("state service refused a change of {} jobs: {}", inFlight.size(), answer.body());
-                refused(nowS);
-                if (unknown) { // an earlier copy may have been carried out before the limits were lowered
-                    waiting = true;
-                    readBack(new ArrayDeque<>(inFlight));
+                LOG.error(
+                        "state service rejected a transaction with writes of {} jobs: {}",
+                        jobWritesInFlight.size(),
+                        response.body());
+                handleRefusal(nowS);
+                if (outcomeUncertain) { // an earlier copy may have been executed before the limits were lowered
+                    awaitingStateService = true;
+                    readBackRecords(new ArrayDeque<>(jobWritesInFlight));
                 } else {
-                    settled();
+                    clearTransaction();
                 }
             }
             case 429, 503 -> {
-                if (!unknown) {
-                    settled(); // certainly not executed; what it held is still dirty
+                if (!outcomeUncertain) {
+                    clearTransaction(); // it was not executed, and its jobs are still marked as changed
                 }
                 retryAtS = nowS + Constants.UNSERVED_TXN_RETRY_S;
             }
             default -> {
-                // It may have been executed or yet be: only the same change again gives a definite answer.
-                if (answer.requestSent()) {
-                    unknown = true;
-                } else if (!unknown) {
-                    settled();
+                // The transaction may have been executed or may still be. Only sending it again unchanged gives a
+                // definite response.
+                if (response.requestSent()) {
+                    outcomeUncertain = true;
+                } else if (!outcomeUncertain) {
+                    clearTransaction();
                 }
                 retryAtS = nowS + Constants.UNANSWERED_TXN_RETRY_S;
             }
         }
     }
 
-    private void stored(long epoch) {
-        for (Item item : inFlight) {
-            // The watch may have shown this write already.
-            if (term.cluster.jobs.get(item.job.spec.id()) == item.job) {
-                persisted(item, epoch);
+    private void handleCommit(long revision) {
+        for (JobWrite jobWrite : jobWritesInFlight) {
+            // The watch may have shown this write already and the finished job may have been removed.
+            if (term.cluster.jobs.get(jobWrite.job.spec.id()) == jobWrite.job) {
+                markWritten(jobWrite, revision);
             }
         }
-        reservations.recordStored(epoch);
-        for (int i = 0; i < orphansInFlight; i++) {
-            orphans.poll();
+        reservations.recordStored(revision);
+        for (int i = 0; i < orphanedKeysInFlight; i++) {
+            orphanedKeys.poll();
         }
-        settled();
+        clearTransaction();
         nextFlushS = 0;
     }
 
-    private void persisted(Item item, long stamp) {
-        Job job = item.job;
-        if (item.over) {
-            over(job, true, item.done, stamp);
+    private void markWritten(JobWrite jobWrite, long revision) {
+        Job job = jobWrite.job;
+        if (jobWrite.finished) {
+            finishJob(job, true, jobWrite.done, revision);
             return;
         }
-        if (!item.own) {
-            job.markStaged(item.parts, item.version);
+        if (!jobWrite.includesMainRecord) {
+            job.markStaged(jobWrite.parts, jobWrite.version);
             return;
         }
-        job.revision = Math.max(job.revision, stamp);
-        job.writeId = item.writeId;
-        job.markPersisted(item.parts, item.version);
+        job.revision = Math.max(job.revision, revision);
+        job.writeId = jobWrite.writeId;
+        job.markPersisted(jobWrite.parts, jobWrite.version);
         if (job.isDirty()) {
             job.dirtySinceS = term.nowS();
         } else {
@@ -336,113 +369,126 @@
         }
     }
 
-    /** The job has moved to the finished ones; {@code known} whether its outcome is. */
-    private void over(Job job, boolean known, boolean done, long stamp) {
+    /**
+     * Removes a job whose live record is gone from the state service, and schedules its parts for deletion.
+     *
+     * @param outcomeKnown whether {@code done} was read from, or written to, the final record
+     */
+    private void finishJob(Job job, boolean outcomeKnown, boolean done, long revision) {
         String id = job.spec.id();
         for (int part = 1; part < job.recordCount(); part++) {
-            orphans.add(JobRecordCodec.partKey(id, part));
+            orphanedKeys.add(JobRecordCodec.partKey(id, part));
         }
-        job.orphanedParts.stream().forEach(part -> orphans.add(JobRecordCodec.partKey(id, part)));
-        term.cluster.removeFinishedJob(job, stamp);
-        if (known) {
-            finished.onJobFinished(job, done);
+        job.orphanedParts.stream().forEach(part -> orphanedKeys.add(JobRecordCodec.partKey(id, part)));
+        term.cluster.removeFinishedJob(job, revision);
+        if (outcomeKnown) {
+            finishedJobListener.onJobFinished(job, done);
         }
     }
 
-    private void settled() {
-        inFlight = null;
-        change = null;
+    private void clearTransaction() {
+        jobWritesInFlight = null;
+        transactionInFlight = null;
         reservations.clearInFlight();
-        unknown = false;
+        outcomeUncertain = false;
     }
 
     /**
-     * A change that the state service will never take: alone, its job is left for a while, so that it keeps no other
-     * from being written; of several, each is tried by itself. Only the leader key and the watch tell of a new leader.
+     * Handles a transaction that the state service would always reject. If it held one job only, that job is not written
+     * for a while, so that it does not block the others; if it held more, each job is tried in a transaction of its own.
+     * A rejection does not mean that there is a new leader: only the leader key and the watch show that.
      */
-    private void refused(double nowS) {
+    private void handleRefusal(double nowS) {
         retryAtS = nowS + Constants.REFUSED_TXN_PAUSE_S;
-        boolean more = reservations.isWriteInFlight() || orphansInFlight > 0;
-        if (inFlight.size() > 1 || !inFlight.isEmpty() && more) {
-            oneByOne = Math.max(oneByOne, inFlight.size());
-        } else if (inFlight.size() == 1) {
-            Job job = inFlight.get(0).job;
-            refusedUntil.put(job.spec.id(), nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
-            if (!unknown) {
+        boolean hasOtherWrites = reservations.isWriteInFlight() || orphanedKeysInFlight > 0;
+        if (jobWritesInFlight.size() > 1 || !jobWritesInFlight.isEmpty() && hasOtherWrites) {
+            singleJobTransactionsLeft = Math.max(singleJobTransactionsLeft, jobWritesInFlight.size());
+        } else if (jobWritesInFlight.size() == 1) {
+            Job job = jobWritesInFlight.get(0).job;
+            refusedUntilS.put(job.spec.id(), nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
+            if (!outcomeUncertain) {
                 term.cluster.dropUnpersistedPlacements(job, nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
             }
         } else {
             reservations.recordRefusal(nowS);
-            orphans.clear(); // found again by the next leader
+            orphanedKeys.clear(); // the next leader finds these keys again when it loads the records
         }
     }
 
-    private void conditionFailed(List<Object> failed, double nowS) {
-        if (failed.contains(StateKeys.LEADER)) {
+    private void handleFailedCondition(List<Object> failedKeys, double nowS) {
+        if (failedKeys.contains(StateKeys.LEADER)) {
             term.depose("the leader key has changed");
             return;
         }
-        waiting = true;
-        ArrayDeque<Item> left = new ArrayDeque<>(inFlight);
+        awaitingStateService = true;
+        ArrayDeque<JobWrite> remaining = new ArrayDeque<>(jobWritesInFlight);
         if (reservations.isWriteInFlight()) {
-            retryAtS = nowS + Constants.STALE_RESERVATION_RETRY_S; // the watch shows the jobs' records meanwhile
-            reservations.reload(() -> readBack(left));
+            retryAtS = nowS + Constants.STALE_RESERVATION_RETRY_S; // by then the watch has shown the jobs' records
+            reservations.reload(() -> readBackRecords(remaining));
         } else {
-            readBack(left);
+            readBackRecords(remaining);
         }
     }
 
-    /** A condition failed: each record tells whether our write is in it (an answer was lost) or a user's abort. */
-    private void readBack(ArrayDeque<Item> left) {
-        if (left.isEmpty()) {
-            waiting = false;
-            settled();
+    /**
+     * Reads the records of the remaining jobs after a failed condition. Each shows whether it holds this transaction's
+     * write (an earlier response was lost) or a user's cancellation.
+     */
+    private void readBackRecords(ArrayDeque<JobWrite> remaining) {
+        if (remaining.isEmpty()) {
+            awaitingStateService = false;
+            clearTransaction();
             return;
         }
-        String id = left.peek().job.spec.id();
-        state.get(StateKeys.LIVE_JOBS + id, Constants.STATE_TIMEOUT_MS, answer -> {
+        String id = remaining.peek().job.spec.id();
+        state.get(StateKeys.LIVE_JOBS + id, Constants.STATE_TIMEOUT_MS, response -> {
             if (term.hasEnded()) {
                 return;
             }
-            if (answer.status() == 200) {
-                Map<String, Object> record = Fields.asMap(answer.body().get("v"));
-                records.applyRecord(id, record, Fields.getLong(answer.body(), "stamp", 0), term.nowS());
-                left.poll();
-                readBack(left);
-            } else if (answer.status() == 404) {
-                readFinal(left);
+            if (response.status() == 200) {
+                Map<String, Object> record = Fields.asMap(response.body().get("v"));
+                recordWatch.applyRecord(id, record, Fields.getLong(response.body(), "stamp", 0), term.nowS());
+                remaining.poll();
+                readBackRecords(remaining);
+            } else if (response.status() == 404) {
+                readFinalRecord(remaining);
             } else {
-                term.runLater(() -> readBack(left), Constants.READ_BACK_RETRY_MS);
+                term.runLater(() -> readBackRecords(remaining), Constants.READ_BACK_RETRY_MS);
             }
         });
     }
 
     /**
-     * The record is gone, so the job is over; how, only its finished record tells. It need not be our own write: if we
-     * were not served for a while, another leader may have finished the job with an abort that we have not heard of.
+     * Reads the final record of the first remaining job, whose live record is gone. Only the final record shows the outcome,
+     * which this term need not have written: while the state service did not serve this controller, another leader may have
+     * finished the job with a cancellation that is not known here.
      */
-    private void readFinal(ArrayDeque<Item> left) {
-        Job job = left.peek().job;
+    private void readFinalRecord(ArrayDeque<JobWrite> remaining) {
+        Job job = remaining.peek().job;
         String id = job.spec.id();
-        state.get(StateKeys.FINAL_RECORDS + id, Constants.STATE_TIMEOUT_MS, answer -> {
+        state.get(StateKeys.FINAL_RECORDS + id, Constants.STATE_TIMEOUT_MS, response -> {
             if (term.hasEnded()) {
                 return;
             }
-            boolean known = answer.status() == 200;
-            if (!known && answer.status() != 404) {
-                term.runLater(() -> readBack(left), Constants.READ_BACK_RETRY_MS);
+            boolean outcomeKnown = response.status() == 200;
+            if (!outcomeKnown && response.status() != 404) {
+                term.runLater(() -> readBackRecords(remaining), Constants.READ_BACK_RETRY_MS);
                 return;
             }
-            if (!known) {
-                LOG.error("record of {} is gone", id);
+            if (!outcomeKnown) {
+                LOG.error("job {} has neither a live record nor a final record", id);
             }
             if (term.cluster.jobs.get(id) == job) {
-                boolean done =
-                        known && Fields.getBoolean(Fields.asMap(answer.body().get("v")), "done");
-                over(job, known, done, Fields.getLong(answer.body(), known ? "stamp" : "epoch", job.revision));
+                boolean done = outcomeKnown
+                        && Fields.getBoolean(Fields.asMap(response.body().get("v")), "done");
+                finishJob(
+                        job,
+                        outcomeKnown,
+                        done,
+                        Fields.getLong(response.body(), outcomeKnown ? "stamp" : "epoch", job.revision));
             }
-            left.poll();
-            readBack(left);
+            remaining.poll();
+            readBackRecords(remaining);
         });
     }
 }
--- a/src/main/java/org/mountlug/node/ReservationWriter.java
+++ b/src/main/java/org/mountlug/node/ReservationWriter.java
@@ -11,123 +11,133 @@
 import org.mountlug.store.StateKeys;
 import org.mountlug.store.Transaction;
 
-/** Keeps the stored reservations equal to the leader's: which of them go into a transaction, and what became of that. */
+/**
+ * Keeps the stored reservations equal to the leader's: adds the differences to transactions of {@link RecordWriter} and
+ * records which of them were stored.
+ */
 final class ReservationWriter {
     private final LeaderTerm term;
-    private Map<String, List<Reservation>> written = new HashMap<>();
-    private Map<String, List<Reservation>> inFlight;
-    /** Revisions of the stored reservations. */
-    private final Map<String, Long> stamps = new HashMap<>();
-    /** Until when nothing is written, after a change was refused. */
-    private double againS;
+    /** By job ID, the reservations as the state service holds them. */
+    private Map<String, List<Reservation>> storedReservations = new HashMap<>();
+    /** What is stored once the transaction in flight has been executed; null if it changes no reservation. */
+    private Map<String, List<Reservation>> reservationsInFlight;
+    /** By job ID, the revision of the stored reservations. */
+    private final Map<String, Long> storedRevisions = new HashMap<>();
+    /** Monotonic time before which no reservation is written, after the state service rejected a write. */
+    private double retryNotBeforeS;
 
     ReservationWriter(LeaderTerm term) {
         this.term = term;
     }
 
-    /** What an earlier leader has stored. */
+    /** Takes over the reservations that an earlier leader has stored; the cluster receives those of live jobs. */
     void restore(Map<String, List<Reservation>> byJob, Map<String, Long> revisions) {
         byJob.forEach((id, reservations) -> {
-            written.put(id, reservations);
+            storedReservations.put(id, reservations);
             if (term.cluster.jobs.containsKey(id)) {
                 term.cluster.reservations.put(id, reservations);
             }
         });
-        stamps.putAll(revisions);
+        storedRevisions.putAll(revisions);
     }
 
-    /** Whether reservations are part of the transaction on its way. */
+    /** Whether the transaction in flight changes reservations. */
     boolean isWriteInFlight() {
-        return inFlight != null;
+        return reservationsInFlight != null;
     }
 
-    /** Adds changed reservations to a transaction; returns how many writes that takes. */
-    int addChangesTo(Transaction change, int room, double nowS) {
-        inFlight = null;
-        if (nowS < againS || term.cluster.reservations.equals(written)) {
+    /** Adds up to {@code maxWrites} changes of reservations to a transaction and returns the number of added writes. */
+    int addChangesTo(Transaction transaction, int maxWrites, double nowS) {
+        reservationsInFlight = null;
+        if (nowS < retryNotBeforeS || term.cluster.reservations.equals(storedReservations)) {
             return 0;
         }
-        Map<String, List<Reservation>> next = new HashMap<>(written);
-        int used = put(change, room, next);
-        for (String id : new ArrayList<>(next.keySet())) {
-            if (used >= room || term.cluster.reservations.containsKey(id)) {
+        Map<String, List<Reservation>> updated = new HashMap<>(storedReservations);
+        int writeCount = putChanged(transaction, maxWrites, updated);
+        for (String id : new ArrayList<>(updated.keySet())) {
+            if (writeCount >= maxWrites || term.cluster.reservations.containsKey(id)) {
                 continue;
             }
-            guard(change, id);
-            change.delete(StateKeys.RESERVATIONS + id);
-            next.remove(id);
-            used++;
+            requireStoredRevision(transaction, id);
+            transaction.delete(StateKeys.RESERVATIONS + id);
+            updated.remove(id);
+            writeCount++;
         }
-        inFlight = next;
-        return used;
+        reservationsInFlight = updated;
+        return writeCount;
     }
 
-    private int put(Transaction change, int room, Map<String, List<Reservation>> next) {
-        int used = 0;
+    private int putChanged(Transaction transaction, int maxWrites, Map<String, List<Reservation>> updated) {
+        int writeCount = 0;
         for (Map.Entry<String, List<Reservation>> entry : term.cluster.reservations.entrySet()) {
             String id = entry.getKey();
             Job job = term.cluster.jobs.get(id);
-            if (used >= room || job == null || entry.getValue().equals(next.get(id))) {
+            if (writeCount >= maxWrites || job == null || entry.getValue().equals(updated.get(id))) {
                 continue;
             }
-            guard(change, id);
-            change.requireRevision(StateKeys.LIVE_JOBS + id, job.revision);
-            change.put(StateKeys.RESERVATIONS + id, ReservationCodec.write(entry.getValue(), term.maxValueChars()));
-            next.put(id, entry.getValue());
-            used++;
+            requireStoredRevision(transaction, id);
+            transaction.requireRevision(StateKeys.LIVE_JOBS + id, job.revision);
+            transaction.put(
+                    StateKeys.RESERVATIONS + id, ReservationCodec.write(entry.getValue(), term.maxValueChars()));
+            updated.put(id, entry.getValue());
+            writeCount++;
         }
-        return used;
+        return writeCount;
     }
 
     /**
-     * The leader key alone would let a change that is carried out late replace a newer one of the same term. As the key
-     * comes and goes, a put is guarded by the job's record too, which moves on when the job is placed.
+     * Makes the transaction depend on the revision of the stored reservations. With the condition on the leader key alone, a
+     * write that is executed late could replace a newer one of the same term. Since the reservations of a job may be deleted
+     * and created again, a put also depends on the revision of the job's record, which changes when the job is placed.
      */
-    private void guard(Transaction change, String id) {
-        change.requireRevision(StateKeys.RESERVATIONS + id, stamps.getOrDefault(id, 0L));
+    private void requireStoredRevision(Transaction transaction, String id) {
+        transaction.requireRevision(StateKeys.RESERVATIONS + id, storedRevisions.getOrDefault(id, 0L));
     }
 
-    /** Nothing is added to the next transaction. */
+    /** Records that the transaction in flight, if there is one, changes no reservations. */
     void clearInFlight() {
-        inFlight = null;
+        reservationsInFlight = null;
     }
 
-    /** The transaction on its way was carried out: what it changed has this revision. */
-    void recordStored(long epoch) {
-        if (inFlight == null) {
+    /** Records that the transaction in flight was executed: the reservations that it changed have this revision. */
+    void recordStored(long revision) {
+        if (reservationsInFlight == null) {
             return;
         }
-        for (Map.Entry<String, List<Reservation>> entry : inFlight.entrySet()) {
-            if (!entry.getValue().equals(written.get(entry.getKey()))) {
-                stamps.put(entry.getKey(), epoch);
+        for (Map.Entry<String, List<Reservation>> entry : reservationsInFlight.entrySet()) {
+            if (!entry.getValue().equals(storedReservations.get(entry.getKey()))) {
+                storedRevisions.put(entry.getKey(), revision);
             }
         }
-        stamps.keySet().retainAll(inFlight.keySet());
-        written = inFlight;
+        storedRevisions.keySet().retainAll(reservationsInFlight.keySet());
+        storedReservations = reservationsInFlight;
     }
 
-    /** The transaction on its way was refused for good, and for no job's fault. */
+    /** Stops writing reservations for a while: the state service rejected a transaction that held no job. */
     void recordRefusal(double nowS) {
-        againS = nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S;
+        retryNotBeforeS = nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S;
     }
 
-    /** After a failed condition: what is stored is read anew, as the failed change may have been carried out before. */
-    void reload(Runnable then) {
-        term.environment.state().list(StateKeys.RESERVATIONS, null, answer -> {
+    /**
+     * Reads the stored reservations again after a failed condition, because an earlier copy of the transaction may have been
+     * executed; then runs {@code onReloaded}.
+     */
+    void reload(Runnable onReloaded) {
+        term.environment.state().list(StateKeys.RESERVATIONS, null, response -> {
             if (term.hasEnded()) {
                 return;
             }
-            if (answer.status() != 200) {
-                term.runLater(() -> reload(then), Constants.READ_BACK_RETRY_MS);
+            if (response.status() != 200) {
+                term.runLater(() -> reload(onReloaded), Constants.READ_BACK_RETRY_MS);
                 return;
             }
-            written = new HashMap<>();
-            stamps.clear();
-            JobRecordWatch.parseReservations(answer.body(), (byJob, revisions) -> {
-                written.putAll(byJob);
-                stamps.putAll(revisions);
+            storedReservations = new HashMap<>();
+            storedRevisions.clear();
+            JobRecordWatch.parseReservations(response.body(), (byJob, revisions) -> {
+                storedReservations.putAll(byJob);
+                storedRevisions.putAll(revisions);
             });
-            then.run();
+            onReloaded.run();
         });
     }
 }
--- a/src/main/java/org/mountlug/node/ZoneStateStore.java
+++ b/src/main/java/org/mountlug/node/ZoneStateStore.java
@@ -14,29 +14,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the zones' state in the state service, so that a new leader goes on with a loss or a return where the last one
- * stopped. Rounds wait until it has been read. It is written while it changes, seldom, and only once every controller
- * understands it.
+ * Stores the zones' state in the state service, so that a new leader continues a zone's loss or return where the previous
+ * leader stopped. Rounds wait until the stored state has been read. Changes are written at most once in
+ * {@link Constants.Zones#STORE_INTERVAL_S}, and only once every controller can read the record.
  */
 final class ZoneStateStore {
     private static final Logger LOG = LoggerFactory.getLogger(ZoneStateStore.class);
 
     private final LeaderTerm term;
-    private final TokenBucket writes;
-    private final ZoneMonitor zones;
+    private final TokenBucket writeRateLimit;
+    private final ZoneMonitor zoneMonitor;
     private final AnnouncedVersions versions;
-    private boolean ready;
-    /** What is stored without its times, which move on by themselves; null if nothing ever was. */
-    private List<Stored> stored;
+    private boolean restored;
+    /** The stored state of the zones, without times, which change all the time; null if nothing has been stored. */
+    private List<StoredZone> stored;
 
-    private boolean writing;
+    private boolean writeInFlight;
     private double nextWriteS;
 
-    /** The part of a zone's state for whose change it is written again. */
-    private record Stored(String zone, String state, int losses, int displaced, long window) {
-        static List<Stored> of(List<ZoneSnapshot> snapshots) {
+    /** The part of a zone's state whose change causes a write. */
+    private record StoredZone(String zone, String state, int recentLosses, int maxSilentMachines, long window) {
+        static List<StoredZone> of(List<ZoneSnapshot> snapshots) {
             return snapshots.stream()
-                    .map(zone -> new Stored(
+                    .map(zone -> new StoredZone(
                             zone.zone(),
                             zone.state().name(),
                             zone.recentLosses(),
@@ -46,66 +46,67 @@
         }
     }
 
-    ZoneStateStore(LeaderTerm term, TokenBucket writes, ZoneMonitor zones, AnnouncedVersions versions) {
+    ZoneStateStore(LeaderTerm term, TokenBucket writeRateLimit, ZoneMonitor zoneMonitor, AnnouncedVersions versions) {
         this.term = term;
-        this.writes = writes;
-        this.zones = zones;
+        this.writeRateLimit = writeRateLimit;
+        this.zoneMonitor = zoneMonitor;
         this.versions = versions;
-        ready = !zones.enabled();
-        if (!ready) {
+        restored = !zoneMonitor.enabled();
+        if (!restored) {
             load();
         }
     }
 
-    /** Whether the zones are as the last leader left them, so that rounds may begin. */
+    /** Whether the zones' state of the previous leader has been restored, so that rounds may begin. */
     boolean isReady() {
-        return ready;
+        return restored;
     }
 
     private void load() {
-        term.environment.state().get(StateKeys.ZONES, Constants.STATE_TIMEOUT_MS, answer -> {
+        term.environment.state().get(StateKeys.ZONES, Constants.STATE_TIMEOUT_MS, response -> {
             if (term.hasEnded()) {
                 return;
             }
-            if (answer.status() == 200) {
-                restore(answer);
-            } else if (answer.status() != 404) {
+            if (response.status() == 200) {
+                restore(response);
+            } else if (response.status() != 404) {
                 term.runLater(this::load, Constants.READ_BACK_RETRY_MS);
                 return;
             }
-            ready = true;
+            restored = true;
         });
     }
 
-    private void restore(PooledHttpClient.Response answer) {
+    private void restore(PooledHttpClient.Response response) {
         long nowMs = term.environment.epochMs().getAsLong();
-        List<ZoneSnapshot> snapshots = ZoneCodec.read(Fields.asMap(answer.body().get("v")), nowMs);
-        zones.restore(snapshots, term.nowS());
-        stored = Stored.of(snapshots);
+        List<ZoneSnapshot> snapshots =
+                ZoneCodec.read(Fields.asMap(response.body().get("v")), nowMs);
+        zoneMonitor.restore(snapshots, term.nowS());
+        stored = StoredZone.of(snapshots);
         for (ZoneSnapshot zone : snapshots) {
-            LOG.info("zone {}: {}, as the last leader left it", zone.zone(), zone.state());
+            LOG.info("zone {}: {}, restored from the previous leader", zone.zone(), zone.state());
         }
     }
 
-    /** Writes the zones' state if it has changed and it is time. */
+    /** Writes the zones' state if it has changed and the last write is long enough ago. */
     void tick(double nowS) {
-        if (!ready || !zones.enabled() || writing || nowS < nextWriteS || !versions.allReadZones()) {
+        if (!restored || !zoneMonitor.enabled() || writeInFlight || nowS < nextWriteS || !versions.allReadZones()) {
             return;
         }
-        List<ZoneSnapshot> snapshots = zones.snapshots(nowS);
-        List<Stored> changed = Stored.of(snapshots);
-        boolean same = stored == null ? changed.isEmpty() : stored.equals(changed);
-        if (same || !term.isLeaseHeld(nowS) || !writes.tryAcquire(nowS, 1)) {
+        List<ZoneSnapshot> snapshots = zoneMonitor.snapshots(nowS);
+        List<StoredZone> current = StoredZone.of(snapshots);
+        boolean unchanged = stored == null ? current.isEmpty() : stored.equals(current);
+        if (unchanged || !term.isLeaseHeld(nowS) || !writeRateLimit.tryAcquire(nowS, 1)) {
             return;
         }
         nextWriteS = nowS + Constants.Zones.STORE_INTERVAL_S;
-        writing = true;
+        writeInFlight = true;
         Map<String, Object> record =
                 ZoneCodec.write(snapshots, term.environment.epochMs().getAsLong(), term.maxValueChars());
-        term.environment.state().commit(term.newFencedTransaction().put(StateKeys.ZONES, record), answer -> {
-            writing = false;
-            if (answer.status() == 200) {
-                stored = changed;
+        term.environment.state().commit(term.newFencedTransaction().put(StateKeys.ZONES, record), response -> {
+            writeInFlight = false;
+            if (response.status() == 200) {
+                stored = current;
             }
         });
     }
