--- a/src/main/java/org/mountlug/peer/PeerCodec.java
+++ b/src/main/java/org/mountlug/peer/PeerCodec.java
@@ -8,24 +8,30 @@
 import org.mountlug.core.admit.QueueId;
 
 /**
- * Frames between controllers, written by hand into a {@link ByteBuffer}: a length, then a question (its serial) or an
- * answer. Both are small and bounded, so a frame is written whole or the connection is given up.
+ * Encodes and decodes the binary frames between controllers: a length, then a request (its ID) or a response. Both are small
+ * and bounded, so a frame is either written whole or the connection is closed.
  */
 public final class PeerCodec {
-    /** Bytes; more ids than fit are told as an overflow. */
-    public static final int FRAME_MAX_BYTES = 4096;
-    /** Bytes of the longest id that fits; a longer one is told as an overflow. */
-    private static final int ID_MAX = 127;
-    /** Bytes of the longest name of a team or class that is told. */
-    private static final int NAME_MAX = 255;
-    /** Bytes of a queue's demand beside its names: their lengths and three counts. */
+    /** Maximum size of a frame in bytes; a response whose cancellations do not fit is marked as truncated. */
+    public static final int MAX_FRAME_BYTES = 4096;
+    /** Maximum length of a job ID in bytes; a response with a longer one is marked as truncated. */
+    private static final int MAX_ID_BYTES = 127;
+    /** Maximum length of a team's or job class's name in bytes; demand of a queue with a longer name is left out. */
+    private static final int MAX_NAME_BYTES = 255;
+    /** Size of a queue's demand in bytes without its names: the lengths of both names and three counts. */
     private static final int DEMAND_FIXED_BYTES = 2 + 3 * Integer.BYTES;
 
     /**
-     * What a node tells of itself. {@code boot} names the process, {@code served} whether the state service serves it,
-     * {@code token} the highest leader's token it knows, {@code aborts} every abort it has lately told a user of, unless
-     * {@code overflow}, {@code reports} how many workers' reports have lately come to it, {@code demand} what it was asked to
-     * take in, the busiest queues only if not all fit.
+     * A controller's status, sent in response to a peer's request.
+     *
+     * @param requestId the ID of the request
+     * @param incarnation names the life of the controller's process
+     * @param stateAvailable whether the state service answers this controller
+     * @param token the highest fencing token that the controller knows
+     * @param recentReports number of workers' reports that have recently come to the controller
+     * @param cancellationsTruncated whether {@code cancellations} is incomplete
+     * @param cancellations IDs of the jobs whose cancellation the controller has recently acknowledged to a user
+     * @param demand submissions at the controller by queue; only the busiest queues if not all fit into the frame
      */
     public record StatusResponse(
             long requestId,
@@ -36,7 +42,7 @@
             boolean cancellationsTruncated,
             List<String> cancellations,
             List<QueueDemand> demand) {
-        /** An answer that tells nothing of demand. */
+        /** Creates a response without demand. */
         public StatusResponse(
                 long requestId,
                 long incarnation,
@@ -59,102 +65,120 @@
 
     private PeerCodec() {}
 
-    /** A frame that asks a peer about itself. */
+    /** Returns a frame that requests a peer's status. */
     public static ByteBuffer writeRequest(long requestId) {
-        ByteBuffer b = ByteBuffer.allocate(12);
-        b.putInt(8).putLong(requestId).flip();
-        return b;
+        ByteBuffer frame = ByteBuffer.allocate(12);
+        frame.putInt(8).putLong(requestId).flip();
+        return frame;
     }
 
-    /** A frame that answers a question. */
-    public static ByteBuffer writeResponse(StatusResponse a) {
-        ByteBuffer b = ByteBuffer.allocate(FRAME_MAX_BYTES);
-        b.putInt(0)
-                .putLong(a.requestId())
-                .putLong(a.incarnation())
-                .put((byte) (a.stateAvailable() ? 1 : 0))
-                .putLong(a.token())
-                .putInt(a.recentReports());
-        int counted = b.position();
-        b.put((byte) 0).putShort((short) 0);
-        int n = 0;
-        for (String s : a.cancellations()) {
-            byte[] id = s.getBytes(StandardCharsets.US_ASCII);
-            if (id.length > ID_MAX || b.remaining() < id.length + 1) {
+    /** Returns a frame that holds a response. */
+    public static ByteBuffer writeResponse(StatusResponse response) {
+        ByteBuffer frame = ByteBuffer.allocate(MAX_FRAME_BYTES);
+        frame.putInt(0)
+                .putLong(response.requestId())
+                .putLong(response.incarnation())
+                .put((byte) (response.stateAvailable() ? 1 : 0))
+                .putLong(response.token())
+                .putInt(response.recentReports());
+        int truncatedFlagPosition = frame.position();
+        frame.put((byte) 0).putShort((short) 0);
+        int writtenIds = 0;
+        for (String cancellation : response.cancellations()) {
+            byte[] id = cancellation.getBytes(StandardCharsets.US_ASCII);
+            if (id.length > MAX_ID_BYTES || frame.remaining() < id.length + 1) {
                 continue;
             }
-            b.put((byte) id.length).put(id);
-            n++;
+            frame.put((byte) id.length).put(id);
+            writtenIds++;
         }
-        b.put(counted, (byte)
-                        (a.cancellationsTruncated() || n < a.cancellations().size() ? 1 : 0))
-                .putShort(counted + 1, (short) n);
-        putDemand(b, a.demand());
-        b.putInt(0, b.position() - 4);
-        return b.flip();
+        frame.put(truncatedFlagPosition, (byte)
+                        (response.cancellationsTruncated()
+                                        || writtenIds < response.cancellations().size()
+                                ? 1
+                                : 0))
+                .putShort(truncatedFlagPosition + 1, (short) writtenIds);
+        writeDemand(frame, response.demand());
+        frame.putInt(0, frame.position() - 4);
+        return frame.flip();
     }
 
-    /** Demand comes last, in what room is left: older versions read no further than the list of ids. */
-    private static void putDemand(ByteBuffer frame, List<QueueDemand> demand) {
-        for (QueueDemand counted : demand) {
-            byte[] team = counted.queue().team().getBytes(StandardCharsets.UTF_8);
-            byte[] jobClass = counted.queue().jobClass().getBytes(StandardCharsets.UTF_8);
+    /** Appends as much demand as fits. It comes last, because older versions read no further than the list of job IDs. */
+    private static void writeDemand(ByteBuffer frame, List<QueueDemand> demand) {
+        for (QueueDemand queueDemand : demand) {
+            byte[] team = queueDemand.queue().team().getBytes(StandardCharsets.UTF_8);
+            byte[] jobClass = queueDemand.queue().jobClass().getBytes(StandardCharsets.UTF_8);
             int bytes = DEMAND_FIXED_BYTES + team.length + jobClass.length;
-            if (team.length > NAME_MAX || jobClass.length > NAME_MAX || frame.remaining() < bytes) {
+            if (team.length > MAX_NAME_BYTES || jobClass.length > MAX_NAME_BYTES || frame.remaining() < bytes) {
                 continue;
             }
             frame.put((byte) team.length).put(team).put((byte) jobClass.length).put(jobClass);
-            frame.putInt(counted.submissions()).putInt(counted.arrivals()).putInt(counted.throttled());
+            frame.putInt(queueDemand.submissions())
+                    .putInt(queueDemand.arrivals())
+                    .putInt(queueDemand.throttled());
         }
     }
 
-    private static List<QueueDemand> demand(ByteBuffer frame) {
+    private static List<QueueDemand> readDemand(ByteBuffer frame) {
         List<QueueDemand> demand = new ArrayList<>();
         while (frame.remaining() >= DEMAND_FIXED_BYTES) {
-            QueueId queue = new QueueId(name(frame), name(frame));
+            QueueId queue = new QueueId(readName(frame), readName(frame));
             demand.add(new QueueDemand(queue, frame.getInt(), frame.getInt(), frame.getInt()));
         }
         return demand;
     }
 
-    private static String name(ByteBuffer frame) {
+    private static String readName(ByteBuffer frame) {
         byte[] name = new byte[frame.get() & 0xff];
         frame.get(name);
         return new String(name, StandardCharsets.UTF_8);
     }
 
-    /** The next whole frame's payload, or null if more bytes are needed; throws on a frame that cannot be ours. */
-    public static ByteBuffer nextFrame(ByteBuffer in) {
-        if (in.remaining() < 4) {
+    /**
+     * Returns the payload of the next complete frame and moves the buffer's position behind it, or returns null if more bytes
+     * are needed.
+     *
+     * @throws IllegalArgumentException if the length is not that of a valid frame
+     */
+    public static ByteBuffer nextFrame(ByteBuffer buffer) {
+        if (buffer.remaining() < 4) {
             return null;
         }
-        int n = in.getInt(in.position());
-        if (n < 8 || n > FRAME_MAX_BYTES - 4) {
-            throw new IllegalArgumentException("frame of " + n + " bytes");
+        int payloadBytes = buffer.getInt(buffer.position());
+        if (payloadBytes < 8 || payloadBytes > MAX_FRAME_BYTES - 4) {
+            throw new IllegalArgumentException("invalid frame length: " + payloadBytes + " bytes");
         }
-        if (in.remaining() < 4 + n) {
+        if (buffer.remaining() < 4 + payloadBytes) {
             return null;
         }
-        ByteBuffer f = in.slice(in.position() + 4, n);
-        in.position(in.position() + 4 + n);
-        return f;
+        ByteBuffer payload = buffer.slice(buffer.position() + 4, payloadBytes);
+        buffer.position(buffer.position() + 4 + payloadBytes);
+        return payload;
     }
 
-    /** Reads the payload of an answer. */
-    public static StatusResponse readResponse(ByteBuffer f) {
-        long serial = f.getLong();
-        long boot = f.getLong();
-        boolean served = f.get() != 0;
-        long token = f.getLong();
-        int reports = f.getInt();
-        boolean overflow = f.get() != 0;
-        int n = f.getShort();
-        List<String> ids = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            byte[] id = new byte[f.get()];
-            f.get(id);
-            ids.add(new String(id, StandardCharsets.US_ASCII));
+    /** Reads the payload of a response. */
+    public static StatusResponse readResponse(ByteBuffer payload) {
+        long requestId = payload.getLong();
+        long incarnation = payload.getLong();
+        boolean stateAvailable = payload.get() != 0;
+        long token = payload.getLong();
+        int recentReports = payload.getInt();
+        boolean cancellationsTruncated = payload.get() != 0;
+        int idCount = payload.getShort();
+        List<String> cancellations = new ArrayList<>(idCount);
+        for (int i = 0; i < idCount; i++) {
+            byte[] id = new byte[payload.get()];
+            payload.get(id);
+            cancellations.add(new String(id, StandardCharsets.US_ASCII));
         }
-        return new StatusResponse(serial, boot, served, token, reports, overflow, ids, demand(f));
+        return new StatusResponse(
+                requestId,
+                incarnation,
+                stateAvailable,
+                token,
+                recentReports,
+                cancellationsTruncated,
+                cancellations,
+                readDemand(payload));
     }
 }
--- a/src/main/java/org/mountlug/peer/PeerConnections.java
+++ b/src/main/java/org/mountlug/peer/PeerConnections.java
@@ -26,62 +26,69 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Connections to the other controllers: one a peer, one question in flight, asked once a second. A peer that does not
- * answer in time loses its connection, so a silent one costs a socket and nothing else.
+ * Connections to the other controllers. Each peer has one connection with at most one request in flight, sent about once a
+ * second. A connection whose peer does not respond in time is closed, so that a silent peer uses no more than one socket.
  */
 public final class PeerConnections {
     private static final Logger LOG = LoggerFactory.getLogger(PeerConnections.class);
 
     private final XnioWorker worker;
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final DoubleSupplier clockS;
-    private final LongFunction<PeerCodec.StatusResponse> self;
-    private final BiConsumer<String, TimedResponse> heard;
-    private final Consumer<String> refused;
-    private final List<Link> links = new ArrayList<>();
-    private final Set<StreamConnection> accepted = new HashSet<>();
+    private final LongFunction<PeerCodec.StatusResponse> ownStatus;
+    private final BiConsumer<String, TimedResponse> responseListener;
+    private final Consumer<String> refusalListener;
+    private final List<PeerLink> links = new ArrayList<>();
+    private final Set<StreamConnection> acceptedConnections = new HashSet<>();
     private AcceptingChannel<StreamConnection> server;
-    private long serial;
+    private long lastRequestId;
     private boolean closed;
 
-    /** An answer and when its question was sent. */
+    /** A response, and the monotonic time at which its request was sent. */
     public record TimedResponse(double requestedS, PeerCodec.StatusResponse response) {}
 
-    /** Connects to the other controllers, given by label and address. */
+    /**
+     * Creates the links to the other controllers; connections are opened with the first requests.
+     *
+     * @param peerAddresses address (host and port) of each peer by its label
+     * @param ownStatus returns this controller's status for a request ID
+     * @param responseListener receives a peer's label and its response
+     * @param refusalListener receives the label of a peer that has refused a connection
+     */
     public PeerConnections(
             XnioWorker worker,
-            XnioIoThread io,
+            XnioIoThread ioThread,
             DoubleSupplier clockS,
-            Map<String, String> others,
-            LongFunction<PeerCodec.StatusResponse> self,
-            BiConsumer<String, TimedResponse> heard,
-            Consumer<String> refused) {
+            Map<String, String> peerAddresses,
+            LongFunction<PeerCodec.StatusResponse> ownStatus,
+            BiConsumer<String, TimedResponse> responseListener,
+            Consumer<String> refusalListener) {
         this.worker = worker;
-        this.io = io;
+        this.ioThread = ioThread;
         this.clockS = clockS;
-        this.self = self;
-        this.heard = heard;
-        this.refused = refused;
-        others.forEach((label, address) -> links.add(new Link(label, socket(address))));
+        this.ownStatus = ownStatus;
+        this.responseListener = responseListener;
+        this.refusalListener = refusalListener;
+        peerAddresses.forEach((label, address) -> links.add(new PeerLink(label, socketAddress(address))));
     }
 
-    private static InetSocketAddress socket(String address) {
+    private static InetSocketAddress socketAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    /** Begins to answer the questions of the other controllers. */
+    /** Begins to accept connections from the other controllers and to answer their requests. */
     public void listen(String address) throws IOException {
         server = worker.createStreamConnectionServer(
-                socket(address),
-                ch -> {
+                socketAddress(address),
+                acceptingChannel -> {
                     try {
-                        StreamConnection c;
-                        while ((c = ch.accept()) != null) {
-                            serve(c);
+                        StreamConnection connection;
+                        while ((connection = acceptingChannel.accept()) != null) {
+                            answerRequests(connection);
                         }
                     } catch (IOException e) {
-                        LOG.debug("accepting a peer: {}", e.toString());
+                        LOG.debug("cannot accept a peer's connection: {}", e.toString());
                     }
                 },
                 OptionMap.EMPTY);
@@ -92,185 +99,190 @@
     public void close() {
         closed = true;
         IoUtils.safeClose(server);
-        for (Link l : links) {
-            l.close();
+        for (PeerLink link : links) {
+            link.close();
         }
-        List.copyOf(accepted).forEach(IoUtils::safeClose); // each leaves the list as it closes
+        List.copyOf(acceptedConnections).forEach(IoUtils::safeClose); // closing removes a connection from the set
     }
 
-    private void serve(StreamConnection c) {
-        // Each of the others has one connection, and perhaps a dead one not yet noticed.
-        if (accepted.size() >= Constants.MAX_ACCEPTED_PER_PEER * Math.max(1, links.size())) {
-            StreamConnection oldest = accepted.iterator().next();
-            accepted.remove(oldest);
+    private void answerRequests(StreamConnection connection) {
+        // Each peer uses one connection; others of its connections may be dead without having been closed here.
+        if (acceptedConnections.size() >= Constants.MAX_ACCEPTED_PER_PEER * Math.max(1, links.size())) {
+            StreamConnection oldest = acceptedConnections.iterator().next();
+            acceptedConnections.remove(oldest);
             IoUtils.safeClose(oldest);
         }
-        accepted.add(c);
-        c.setCloseListener(x -> accepted.remove(c));
-        reading(c, f -> write(c, PeerCodec.writeResponse(self.apply(f.getLong()))));
+        acceptedConnections.add(connection);
+        connection.setCloseListener(x -> acceptedConnections.remove(connection));
+        readFrames(
+                connection, frame -> writeFrame(connection, PeerCodec.writeResponse(ownStatus.apply(frame.getLong()))));
     }
 
-    private static void reading(StreamConnection c, Consumer<ByteBuffer> frames) {
-        ByteBuffer in = ByteBuffer.allocate(2 * PeerCodec.FRAME_MAX_BYTES);
-        c.getSourceChannel().setReadListener(ch -> {
+    private static void readFrames(StreamConnection connection, Consumer<ByteBuffer> frameHandler) {
+        ByteBuffer buffer = ByteBuffer.allocate(2 * PeerCodec.MAX_FRAME_BYTES);
+        connection.getSourceChannel().setReadListener(channel -> {
             try {
-                int n;
-                while ((n = ch.read(in)) > 0) {
-                    in.flip();
-                    ByteBuffer f;
-                    while ((f = PeerCodec.nextFrame(in)) != null) {
-                        frames.accept(f);
+                int bytesRead;
+                while ((bytesRead = channel.read(buffer)) > 0) {
+                    buffer.flip();
+                    ByteBuffer frame;
+                    while ((frame = PeerCodec.nextFrame(buffer)) != null) {
+                        frameHandler.accept(frame);
                     }
-                    in.compact();
+                    buffer.compact();
                 }
-                if (n < 0) {
-                    IoUtils.safeClose(c);
+                if (bytesRead < 0) {
+                    IoUtils.safeClose(connection);
                 }
             } catch (IOException | RuntimeException e) {
-                LOG.debug("peer connection: {}", e.toString());
-                IoUtils.safeClose(c);
+                LOG.debug("closing a peer connection: {}", e.toString());
+                IoUtils.safeClose(connection);
             }
         });
-        c.getSourceChannel().resumeReads();
+        connection.getSourceChannel().resumeReads();
     }
 
-    private static boolean write(StreamConnection c, ByteBuffer b) {
+    private static boolean writeFrame(StreamConnection connection, ByteBuffer frame) {
         try {
-            while (b.hasRemaining()) {
-                if (c.getSinkChannel().write(b) == 0) {
-                    IoUtils.safeClose(c); // it does not read: not worth waiting for
+            while (frame.hasRemaining()) {
+                if (connection.getSinkChannel().write(frame) == 0) {
+                    IoUtils.safeClose(connection); // the peer does not read, so nothing waits for it
                     return false;
                 }
             }
-            c.getSinkChannel().flush();
+            connection.getSinkChannel().flush();
             return true;
         } catch (IOException e) {
-            IoUtils.safeClose(c);
+            IoUtils.safeClose(connection);
             return false;
         }
     }
 
-    /** Asks every peer; to be called about once a second. */
+    /** Requests the status of every peer; must be called about once a second. */
     public void requestStatus() {
-        for (Link l : links) {
-            l.ask();
+        for (PeerLink link : links) {
+            link.connectOrRequest();
         }
     }
 
-    private final class Link {
+    /** The connection to one peer. */
+    private final class PeerLink {
         final String label;
         final InetSocketAddress address;
         StreamConnection connection;
-        IoFuture<StreamConnection> opening;
-        double sinceS;
-        long waitingFor;
-        /** Refusals in a row, to ask again soon after the first ones only. */
-        int refusals;
+        IoFuture<StreamConnection> pendingConnection;
+        /** Monotonic time at which the last connection attempt or request started. */
+        double startedS;
+        /** ID of the request in flight; 0 if there is none. */
+        long awaitedRequestId;
+        /** Number of refused connections in a row; only after the first ones is the connection retried early. */
+        int consecutiveRefusals;
 
-        Link(String label, InetSocketAddress address) {
+        PeerLink(String label, InetSocketAddress address) {
             this.label = label;
             this.address = address;
         }
 
         void close() {
-            StreamConnection c = connection;
+            StreamConnection openConnection = connection;
             connection = null;
-            IoUtils.safeClose(c);
-            if (opening != null) {
-                opening.cancel();
+            IoUtils.safeClose(openConnection);
+            if (pendingConnection != null) {
+                pendingConnection.cancel();
             }
-            opening = null;
-            waitingFor = 0;
+            pendingConnection = null;
+            awaitedRequestId = 0;
         }
 
-        void ask() {
+        void connectOrRequest() {
             double now = clockS.getAsDouble();
-            if ((waitingFor != 0 || opening != null) && now - sinceS > Constants.PEER_TIMEOUT_MS / 1000.0) {
+            if ((awaitedRequestId != 0 || pendingConnection != null)
+                    && now - startedS > Constants.PEER_TIMEOUT_MS / 1000.0) {
                 close();
             }
-            if (waitingFor != 0 || opening != null) {
+            if (awaitedRequestId != 0 || pendingConnection != null) {
                 return;
             }
             if (connection == null || !connection.isOpen()) {
-                sinceS = now;
-                IoFuture<StreamConnection> f = io.openStreamConnection(
+                startedS = now;
+                IoFuture<StreamConnection> connecting = ioThread.openStreamConnection(
                         address,
-                        c -> {
-                            if (opening == null) {
-                                IoUtils.safeClose(c);
+                        newConnection -> {
+                            if (pendingConnection == null) {
+                                IoUtils.safeClose(newConnection);
                                 return;
                             }
-                            opening = null;
-                            connection = c;
-                            refusals = 0;
-                            c.setCloseListener(x -> lost(c));
-                            reading(c, this::frame);
-                            send();
+                            pendingConnection = null;
+                            connection = newConnection;
+                            consecutiveRefusals = 0;
+                            newConnection.setCloseListener(x -> handleClosedConnection(newConnection));
+                            readFrames(newConnection, this::handleFrame);
+                            sendRequest();
                         },
                         OptionMap.EMPTY);
-                opening = f;
-                f.addNotifier(
-                        (x, o) -> {
-                            if (x.getStatus() == IoFuture.Status.DONE || opening != x) {
+                pendingConnection = connecting;
+                connecting.addNotifier(
+                        (future, attachment) -> {
+                            if (future.getStatus() == IoFuture.Status.DONE || pendingConnection != future) {
                                 return;
                             }
-                            opening = null;
-                            if (x.getStatus() == IoFuture.Status.FAILED
-                                    && x.getException() instanceof ConnectException) {
-                                refused();
+                            pendingConnection = null;
+                            if (future.getStatus() == IoFuture.Status.FAILED
+                                    && future.getException() instanceof ConnectException) {
+                                handleRefusedConnection();
                             }
                         },
                         null);
                 return;
             }
-            send();
+            sendRequest();
         }
 
-        /** It closed the connection, perhaps because it has ended; a refusal would say so at once. */
-        void lost(StreamConnection c) {
-            if (connection != c) {
+        /** Reconnects at once: if the peer's process has ended, the connection is refused, which shows that without delay. */
+        void handleClosedConnection(StreamConnection closedConnection) {
+            if (connection != closedConnection) {
                 return;
             }
             connection = null;
-            waitingFor = 0;
+            awaitedRequestId = 0;
             if (!closed) {
-                io.execute(this::ask);
+                ioThread.execute(this::connectOrRequest);
             }
         }
 
-        void refused() {
-            refused.accept(label);
-            if (closed || ++refusals > Constants.PEER_ENDED_REFUSALS) {
+        void handleRefusedConnection() {
+            refusalListener.accept(label);
+            if (closed || ++consecutiveRefusals > Constants.PEER_ENDED_REFUSALS) {
                 return;
             }
-            // What the others say now tells an ended process from a filter.
-            for (Link l : links) {
-                if (l != this) {
-                    l.ask();
+            // Responses of the other peers distinguish an ended process from a network filter.
+            for (PeerLink link : links) {
+                if (link != this) {
+                    link.connectOrRequest();
                 }
             }
-            io.executeAfter(this::ask, Constants.PEER_REFUSED_RETRY_MS, TimeUnit.MILLISECONDS);
+            ioThread.executeAfter(this::connectOrRequest, Constants.PEER_REFUSED_RETRY_MS, TimeUnit.MILLISECONDS);
         }
 
-        void send() {
-            sinceS = clockS.getAsDouble();
-            waitingFor = ++serial;
-            if (!write(connection, PeerCodec.writeRequest(serial))) {
+        void sendRequest() {
+            startedS = clockS.getAsDouble();
+            awaitedRequestId = ++lastRequestId;
+            if (!writeFrame(connection, PeerCodec.writeRequest(lastRequestId))) {
                 close();
             }
         }
 
-        void frame(ByteBuffer f) {
-            PeerCodec.StatusResponse a = PeerCodec.readResponse(f);
-            if (a.requestId() != waitingFor) {
+        void handleFrame(ByteBuffer payload) {
+            PeerCodec.StatusResponse response = PeerCodec.readResponse(payload);
+            if (response.requestId() != awaitedRequestId) {
                 return;
             }
-            waitingFor = 0;
-            // What waited in the socket while we stood still tells nothing of now.
-            if (clockS.getAsDouble() - sinceS > Constants.PEER_TIMEOUT_MS / 1000.0) {
+            awaitedRequestId = 0;
+            // A response that waited in the socket during a process pause is out of date.
+            if (clockS.getAsDouble() - startedS > Constants.PEER_TIMEOUT_MS / 1000.0) {
                 return;
             }
-            heard.accept(label, new TimedResponse(sinceS, a));
+            responseListener.accept(label, new TimedResponse(startedS, response));
         }
     }
 }
--- a/src/main/java/org/mountlug/peer/PeerView.java
+++ b/src/main/java/org/mountlug/peer/PeerView.java
@@ -8,198 +8,212 @@
 import org.mountlug.Constants;
 
 /**
- * What the peers' answers prove, without any I/O. While the state service serves nobody, a leader must go on renewing
- * workers' leases, or all work dies; but only up to a time until which every abort told to a user is known to it. Each
- * answer lists the peer's aborts, so it proves that up to when it was asked for; a peer that is silent, or was started
- * anew since, has proven nothing for the time between.
+ * Evaluates the peers' responses, without any I/O. During an outage of the state service a leader must go on renewing
+ * workers' leases, or all running tasks would end; but it may do so only while every cancellation acknowledged to a user
+ * is known to it up to a recent time. Each response lists the peer's recent cancellations, so they are known up to the time
+ * of its request. A peer that is silent, or has restarted since, confirms nothing for the time between.
  */
 public final class PeerView {
+    /**
+     * What is known of one peer.
+     *
+     * @param coveredSinceS monotonic time since which the peer's cancellations are known without a gap
+     * @param coveredUntilS monotonic time up to which they are known: that of the last answered request
+     * @param respondedS monotonic time of the last response
+     * @param token the highest fencing token that the peer knows
+     * @param recentReports number of workers' reports that have recently come to the peer
+     * @param peakReports the highest such number, which decays with each response
+     */
     private record PeerStatus(
-            long boot,
-            double sinceS,
-            double untilS,
-            boolean served,
-            double heardS,
+            long incarnation,
+            double coveredSinceS,
+            double coveredUntilS,
+            boolean stateAvailable,
+            double respondedS,
             long token,
-            int reports,
-            double reportsPeak) {}
+            int recentReports,
+            double peakReports) {}
 
-    private record Abort(String id, double atS) {}
+    private record Cancellation(String id, double recordedS) {}
 
-    private record Refusal(double sinceS, double lastS, int count) {}
+    private record RefusedConnections(double firstS, double lastS, int count) {}
 
-    private final Map<String, Refusal> refusals = new HashMap<>();
+    private final Map<String, RefusedConnections> refusedConnectionsByPeer = new HashMap<>();
     private final List<String> peers;
-    private final double keepS;
-    private final Map<String, PeerStatus> known = new HashMap<>();
-    private final ArrayDeque<Abort> aborts = new ArrayDeque<>();
+    private final double retentionS;
+    private final Map<String, PeerStatus> statusByPeer = new HashMap<>();
+    private final ArrayDeque<Cancellation> cancellations = new ArrayDeque<>();
 
-    /** A view of these peers, each of which lists its cancellations for {@code keepS} seconds. */
-    public PeerView(List<String> peers, double keepS) {
+    /** Creates a view of these peers, each of which lists its cancellations for {@code retentionS} seconds. */
+    public PeerView(List<String> peers, double retentionS) {
         this.peers = peers;
-        this.keepS = keepS;
+        this.retentionS = retentionS;
     }
 
-    /** This node is about to tell a user that the job is cancelled. */
+    /** Records a cancellation that this controller is about to acknowledge to a user. */
     public synchronized void recordCancellation(String id, double nowS) {
-        while (!aborts.isEmpty() && nowS - aborts.peekFirst().atS() > keepS) {
-            aborts.pollFirst();
+        while (!cancellations.isEmpty() && nowS - cancellations.peekFirst().recordedS() > retentionS) {
+            cancellations.pollFirst();
         }
-        // Told again and again it needs no second place: whoever hears all of this list's span has heard the first.
-        for (Abort a : aborts) {
-            if (a.id().equals(id)) {
+        // A repeated cancellation needs no second entry: a peer that reads the list without a gap has seen the first.
+        for (Cancellation cancellation : cancellations) {
+            if (cancellation.id().equals(id)) {
                 return;
             }
         }
-        aborts.addLast(new Abort(id, nowS));
+        cancellations.addLast(new Cancellation(id, nowS));
     }
 
-    /** The cancellations that this controller has to list now. */
+    /** Returns the IDs of the cancelled jobs that this controller has to list in its responses now. */
     public synchronized List<String> recentCancellations(double nowS) {
-        List<String> l = new ArrayList<>();
-        for (Abort a : aborts) {
-            if (nowS - a.atS() <= keepS) {
-                l.add(a.id());
+        List<String> ids = new ArrayList<>();
+        for (Cancellation cancellation : cancellations) {
+            if (nowS - cancellation.recordedS() <= retentionS) {
+                ids.add(cancellation.id());
             }
         }
-        return l;
+        return ids;
     }
 
-    /** A peer has answered a question that was asked at {@code askedS}. */
-    public synchronized void recordResponse(String peer, double askedS, double nowS, PeerCodec.StatusResponse a) {
-        PeerStatus k = known.get(peer);
-        // Aborts are listed for keepS only, so a longer gap, like a new process or an overflow, starts anew.
-        boolean goesOn = k != null
-                && k.boot() == a.incarnation()
-                && !a.cancellationsTruncated()
-                && nowS - k.untilS() < keepS / 2;
-        double peak = k == null ? 0 : k.reportsPeak() * Constants.REPORT_PEAK_DECAY;
-        known.put(
+    /** Records a peer's response to a request that was sent at {@code requestedS}. */
+    public synchronized void recordResponse(
+            String peer, double requestedS, double nowS, PeerCodec.StatusResponse response) {
+        PeerStatus previous = statusByPeer.get(peer);
+        // Cancellations are listed for the retention time only. After a gap that is too long, a new incarnation or a
+        // truncated list, the covered time starts again with this request.
+        boolean continuous = previous != null
+                && previous.incarnation() == response.incarnation()
+                && !response.cancellationsTruncated()
+                && nowS - previous.coveredUntilS() < retentionS / 2;
+        double decayedPeak = previous == null ? 0 : previous.peakReports() * Constants.REPORT_PEAK_DECAY;
+        statusByPeer.put(
                 peer,
                 new PeerStatus(
-                        a.incarnation(),
-                        goesOn ? k.sinceS() : askedS,
-                        askedS,
-                        a.stateAvailable(),
+                        response.incarnation(),
+                        continuous ? previous.coveredSinceS() : requestedS,
+                        requestedS,
+                        response.stateAvailable(),
                         nowS,
-                        a.token(),
-                        a.recentReports(),
-                        Math.max(peak, a.recentReports())));
+                        response.token(),
+                        response.recentReports(),
+                        Math.max(decayedPeak, response.recentReports())));
     }
 
     /**
-     * The steady seconds up to which all aborts are known, given that they are up to {@code viewS} by the state
-     * service: later only if every peer's answers reach back to that time without a gap.
+     * Returns the monotonic time up to which all cancellations are known. It is later than {@code knownFromStateS} only if
+     * every peer's responses reach back to that time without a gap.
+     *
+     * @param knownFromStateS monotonic time up to which cancellations are known from the state service
      */
-    public synchronized double cancellationsKnownUntilS(double viewS, double nowS) {
-        double until = nowS;
-        for (String p : peers) {
-            PeerStatus k = known.get(p);
-            if (k == null || k.sinceS() > viewS) {
-                return viewS;
+    public synchronized double cancellationsKnownUntilS(double knownFromStateS, double nowS) {
+        double knownUntilS = nowS;
+        for (String peer : peers) {
+            PeerStatus status = statusByPeer.get(peer);
+            if (status == null || status.coveredSinceS() > knownFromStateS) {
+                return knownFromStateS;
             }
-            until = Math.min(until, k.untilS());
+            knownUntilS = Math.min(knownUntilS, status.coveredUntilS());
         }
-        return Math.max(viewS, until);
+        return Math.max(knownFromStateS, knownUntilS);
     }
 
-    /** Whether every peer has answered a question that was asked since then. */
+    /** Whether every peer has responded to a request that was sent at or after this monotonic time. */
     public synchronized boolean haveAllRespondedSince(double sinceS) {
-        for (String p : peers) {
-            PeerStatus k = known.get(p);
-            if (k == null || k.untilS() < sinceS) {
+        for (String peer : peers) {
+            PeerStatus status = statusByPeer.get(peer);
+            if (status == null || status.coveredUntilS() < sinceS) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A connection to the peer was refused: nobody listens there, or a filter stands between. */
+    /** Records that a connection to the peer was refused: no process listens there, or a network filter rejects it. */
     public synchronized void recordRefusedConnection(String peer, double nowS) {
-        Refusal r = refusals.get(peer);
-        if (r == null || nowS - r.lastS() > Constants.PEER_REFUSAL_WINDOW_S) {
-            refusals.put(peer, new Refusal(nowS, nowS, 1));
+        RefusedConnections refused = refusedConnectionsByPeer.get(peer);
+        if (refused == null || nowS - refused.lastS() > Constants.PEER_REFUSAL_WINDOW_S) {
+            refusedConnectionsByPeer.put(peer, new RefusedConnections(nowS, nowS, 1));
         } else {
-            refusals.put(peer, new Refusal(r.sinceS(), nowS, r.count() + 1));
+            refusedConnectionsByPeer.put(peer, new RefusedConnections(refused.firstS(), nowS, refused.count() + 1));
         }
     }
 
     /**
-     * Whether the peer's process has ended, as far as can be told: it refuses again and again, while most of the others
-     * have answered since it began to. Where the others refuse too, it is rather a filter between us.
+     * Whether the peer's process has probably ended: it refuses connections repeatedly, while more than half of the other
+     * peers have responded since the first refusal. If the others do not respond, a network filter is more likely.
      */
     public synchronized boolean hasProcessEnded(String peer, double nowS) {
-        Refusal r = refusals.get(peer);
-        if (r == null
-                || r.count() < Constants.PEER_ENDED_REFUSALS
-                || nowS - r.lastS() > Constants.PEER_REFUSAL_WINDOW_S) {
+        RefusedConnections refused = refusedConnectionsByPeer.get(peer);
+        if (refused == null
+                || refused.count() < Constants.PEER_ENDED_REFUSALS
+                || nowS - refused.lastS() > Constants.PEER_REFUSAL_WINDOW_S) {
             return false;
         }
-        PeerStatus it = known.get(peer);
-        if (it != null && it.heardS() >= r.sinceS()) {
+        PeerStatus status = statusByPeer.get(peer);
+        if (status != null && status.respondedS() >= refused.firstS()) {
             return false;
         }
         int answered = 0;
-        for (String p : peers) {
-            PeerStatus k = known.get(p);
-            if (!p.equals(peer) && k != null && k.heardS() >= r.sinceS()) {
+        for (String otherPeer : peers) {
+            PeerStatus otherStatus = statusByPeer.get(otherPeer);
+            if (!otherPeer.equals(peer) && otherStatus != null && otherStatus.respondedS() >= refused.firstS()) {
                 answered++;
             }
         }
         return answered > 0 && answered * 2 > peers.size() - 1;
     }
 
-    /** Whether this peer has answered lately. */
+    /** Whether this peer has responded recently. */
     public synchronized boolean hasRespondedRecently(String peer, double nowS) {
-        PeerStatus k = known.get(peer);
-        return k != null && nowS - k.heardS() < Constants.PEER_RESPONSE_VALID_S;
+        PeerStatus status = statusByPeer.get(peer);
+        return status != null && nowS - status.respondedS() < Constants.PEER_RESPONSE_VALID_S;
     }
 
-    /** Whether every peer has answered lately. */
+    /** Whether every peer has responded recently. */
     public synchronized boolean haveAllRespondedRecently(double nowS) {
-        for (String p : peers) {
-            if (!hasRespondedRecently(p, nowS)) {
+        for (String peer : peers) {
+            if (!hasRespondedRecently(peer, nowS)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether some peer said lately that the state service serves it. */
+    /** Whether a peer has recently responded that the state service is available to it. */
     public synchronized boolean isStateAvailableToAnyPeer(double nowS) {
-        for (PeerStatus k : known.values()) {
-            if (k.served() && nowS - k.heardS() < Constants.PEER_RESPONSE_VALID_S) {
+        for (PeerStatus status : statusByPeer.values()) {
+            if (status.stateAvailable() && nowS - status.respondedS() < Constants.PEER_RESPONSE_VALID_S) {
                 return true;
             }
         }
         return false;
     }
 
-    /** How many workers' reports have lately come to the peers. */
+    /** Returns the number of workers' reports that have recently come to the peers. */
     public synchronized int recentPeerReportCount(double nowS) {
-        int n = 0;
-        for (PeerStatus k : known.values()) {
-            if (nowS - k.heardS() < Constants.PEER_RESPONSE_VALID_S) {
-                n += k.reports();
+        int count = 0;
+        for (PeerStatus status : statusByPeer.values()) {
+            if (nowS - status.respondedS() < Constants.PEER_RESPONSE_VALID_S) {
+                count += status.recentReports();
             }
         }
-        return n;
+        return count;
     }
 
-    /** Whether next to no report comes to this peer any more, by its own word, while many did some seconds before. */
+    /** Whether this peer responds that hardly any reports come to it now, while many did some seconds before. */
     public synchronized boolean haveReportsCeased(String peer, double nowS) {
-        PeerStatus k = known.get(peer);
+        PeerStatus status = statusByPeer.get(peer);
         return hasRespondedRecently(peer, nowS)
-                && k.reportsPeak() >= Constants.ISOLATION_MIN_REPORTS
-                && k.reports() <= k.reportsPeak() * Constants.ISOLATION_OWN_REPORT_SHARE;
+                && status.peakReports() >= Constants.ISOLATION_MIN_REPORTS
+                && status.recentReports() <= status.peakReports() * Constants.ISOLATION_OWN_REPORT_SHARE;
     }
 
-    /** The highest leader's token that a peer knows of. */
+    /** Returns the highest fencing token that a peer knows; 0 if no peer has responded. */
     public synchronized long highestKnownToken() {
-        long t = 0;
-        for (PeerStatus k : known.values()) {
-            t = Math.max(t, k.token());
+        long token = 0;
+        for (PeerStatus status : statusByPeer.values()) {
+            token = Math.max(token, status.token());
         }
-        return t;
+        return token;
     }
 }
--- a/src/main/java/org/mountlug/peer/package-info.java
+++ b/src/main/java/org/mountlug/peer/package-info.java
@@ -1,2 +1,2 @@
-/** What the controllers tell each other, over a protocol of their own. */
+/** Status requests and responses between the controllers, over a binary protocol, and their evaluation. */
 package org.mountlug.peer;
