--- a/src/main/java/org/mountlug/agent/WorkerCodec.java
+++ b/src/main/java/org/mountlug/agent/WorkerCodec.java
@@ -10,64 +10,67 @@
 import org.mountlug.core.model.Report;
 import org.mountlug.wire.Fields;
 
-/** Workers' messages; the only place that knows their field names. */
+/** Encodes and decodes the messages of workers; the only class that knows their field names. */
 public final class WorkerCodec {
     private WorkerCodec() {}
 
-    /** Reads a report, or returns null if it lacks what every report has. */
-    public static Report readReport(Map<String, Object> m) {
-        String rig = Fields.getString(m, "rig");
-        if (rig == null || !(m.get("stint") instanceof Number) || !(m.get("tick") instanceof Number)) {
+    /**
+     * Reads a report, or returns null if it lacks the machine's name, the session or the sequence number. Attempts without a
+     * valid task name are left out.
+     */
+    public static Report readReport(Map<String, Object> message) {
+        String machine = Fields.getString(message, "rig");
+        if (machine == null || !(message.get("stint") instanceof Number) || !(message.get("tick") instanceof Number)) {
             return null;
         }
-        List<Object> raw = Fields.getList(m, "pieces");
-        List<Report.AttemptStatus> items = new ArrayList<>(raw.size());
-        for (Object o : raw) {
-            Map<String, Object> t = Fields.asMap(o);
-            String piece = Fields.getString(t, "piece", "");
-            int slash = piece.lastIndexOf('/');
+        List<Object> elements = Fields.getList(message, "pieces");
+        List<Report.AttemptStatus> attempts = new ArrayList<>(elements.size());
+        for (Object element : elements) {
+            Map<String, Object> attempt = Fields.asMap(element);
+            String taskName = Fields.getString(attempt, "piece", "");
+            int slash = taskName.lastIndexOf('/');
             if (slash < 0) {
                 continue;
             }
             int task;
             try {
-                task = Integer.parseInt(piece.substring(slash + 1));
+                task = Integer.parseInt(taskName.substring(slash + 1));
             } catch (NumberFormatException e) {
                 continue;
             }
-            items.add(new Report.AttemptStatus(
-                    piece.substring(0, slash),
+            attempts.add(new Report.AttemptStatus(
+                    taskName.substring(0, slash),
                     task,
-                    Fields.getLong(t, "try", 0),
-                    state(Fields.getString(t, "status", "")),
-                    cause(Fields.getString(t, "cause", "")),
-                    Fields.getBoolean(t, "saved")));
+                    Fields.getLong(attempt, "try", 0),
+                    readState(Fields.getString(attempt, "status", "")),
+                    readCause(Fields.getString(attempt, "cause", "")),
+                    Fields.getBoolean(attempt, "saved")));
         }
         return new Report(
-                rig,
-                Fields.getString(m, "address"),
-                Fields.getString(m, "build", ""),
-                Fields.getString(m, "site", ""),
-                Fields.getBoolean(m, "loaners"),
-                Fields.getLong(m, "stint", 0),
-                Fields.getLong(m, "tick", 0),
-                Fields.getLong(m, "baton", 0),
-                Fields.getDouble(m, "recallS", Double.NaN),
-                items);
+                machine,
+                Fields.getString(message, "address"),
+                Fields.getString(message, "build", ""),
+                Fields.getString(message, "site", ""),
+                Fields.getBoolean(message, "loaners"),
+                Fields.getLong(message, "stint", 0),
+                Fields.getLong(message, "tick", 0),
+                Fields.getLong(message, "baton", 0),
+                Fields.getDouble(message, "recallS", Double.NaN),
+                attempts);
     }
 
-    private static AttemptState state(String s) {
-        return switch (s) {
+    private static AttemptState readState(String name) {
+        return switch (name) {
             case "fetching" -> AttemptState.FETCHING;
             case "gathering" -> AttemptState.WAITING_FOR_GANG;
             case "saving" -> AttemptState.SAVING;
             case "exited" -> AttemptState.EXITED;
-            default -> AttemptState.RUNNING; // an unknown state occupies its place like a running one
+            default -> AttemptState.RUNNING; // an unknown state occupies its machine like a running one
         };
     }
 
-    private static ExitCause cause(String s) {
-        return switch (s) {
+    private static ExitCause readCause(String name) {
+        return switch (name) {
             case "done" -> ExitCause.DONE;
             case "halted" -> ExitCause.STOPPED;
             case "peers" -> ExitCause.PEERS;
@@ -80,41 +83,41 @@
         };
     }
 
-    /** The body that answers a worker's report. */
-    public static Map<String, Object> writeReportResponse(long token, List<Command> orders) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("baton", token);
-        m.put("orders", orders(orders));
-        return m;
+    /** Returns the body of the response to a worker's report. */
+    public static Map<String, Object> writeReportResponse(long token, List<Command> commands) {
+        Map<String, Object> message = new LinkedHashMap<>();
+        message.put("baton", token);
+        message.put("orders", writeCommands(commands));
+        return message;
     }
 
-    /** The body of a direct command, bound to one session of the worker. */
-    public static Map<String, Object> writeCommand(long token, long session, List<Command> orders) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("baton", token);
-        m.put("stint", session);
-        m.put("orders", orders(orders));
-        return m;
+    /** Returns the body of a message with direct commands, which only this session of the worker accepts. */
+    public static Map<String, Object> writeCommand(long token, long session, List<Command> commands) {
+        Map<String, Object> message = new LinkedHashMap<>();
+        message.put("baton", token);
+        message.put("stint", session);
+        message.put("orders", writeCommands(commands));
+        return message;
     }
 
-    private static List<Object> orders(List<Command> orders) {
-        List<Object> l = new ArrayList<>(orders.size());
-        for (Command o : orders) {
-            Map<String, Object> c = new LinkedHashMap<>();
-            c.put(
+    private static List<Object> writeCommands(List<Command> commands) {
+        List<Object> elements = new ArrayList<>(commands.size());
+        for (Command command : commands) {
+            Map<String, Object> element = new LinkedHashMap<>();
+            element.put(
                     "verb",
-                    switch (o.verb()) {
+                    switch (command.verb()) {
                         case START -> "start";
                         case STOP -> "kill";
                         case FORGET -> "clear";
                     });
-            c.put("piece", o.taskName());
-            c.put("try", o.attempt());
-            if (o.verb() == Command.Verb.STOP) {
-                c.put("leewayS", o.gracePeriodS());
+            element.put("piece", command.taskName());
+            element.put("try", command.attempt());
+            if (command.verb() == Command.Verb.STOP) {
+                element.put("leewayS", command.gracePeriodS());
             }
-            l.add(c);
+            elements.add(element);
         }
-        return l;
+        return elements;
     }
 }
--- a/src/main/java/org/mountlug/cloud/CloudCodec.java
+++ b/src/main/java/org/mountlug/cloud/CloudCodec.java
@@ -10,109 +10,109 @@
 import org.mountlug.core.scale.RentalRequest;
 import org.mountlug.wire.Fields;
 
-/** The cloud's messages; the only place that knows their field names. */
+/** Encodes and decodes the messages of the cloud; the only class that knows their field names. */
 public final class CloudCodec {
     private CloudCodec() {}
 
-    /** Reads the machine types, from the cloud or as the state service keeps them. */
-    public static List<MachineType> readMachineTypes(Map<String, Object> m) {
-        List<MachineType> out = new ArrayList<>();
-        for (Object o : Fields.getList(m, "builds")) {
-            Map<String, Object> b = Fields.asMap(o);
-            String name = Fields.getString(b, "name");
+    /** Reads machine types, as sent by the cloud or as stored in the state service. */
+    public static List<MachineType> readMachineTypes(Map<String, Object> message) {
+        List<MachineType> types = new ArrayList<>();
+        for (Object element : Fields.getList(message, "builds")) {
+            Map<String, Object> type = Fields.asMap(element);
+            String name = Fields.getString(type, "name");
             if (name == null) {
                 continue;
             }
-            List<String> zones = Fields.getStrings(b, "sites");
-            out.add(new MachineType(
+            List<String> zones = Fields.getStrings(type, "sites");
+            types.add(new MachineType(
                     name,
                     new Resources(
-                            Fields.getDouble(b, "vcpus", 0),
-                            Fields.getDouble(b, "cards", 0),
-                            Fields.getDouble(b, "ramGb", 0)),
-                    Fields.getDouble(b, "cacheGb", 0),
-                    Fields.getDouble(b, "fetchGbPerS", 1),
-                    Fields.getDouble(b, "price", 1),
-                    Fields.getDouble(b, "marketPrice", Fields.getDouble(b, "price", 1)),
-                    Fields.getDouble(b, "bootS", 60),
+                            Fields.getDouble(type, "vcpus", 0),
+                            Fields.getDouble(type, "cards", 0),
+                            Fields.getDouble(type, "ramGb", 0)),
+                    Fields.getDouble(type, "cacheGb", 0),
+                    Fields.getDouble(type, "fetchGbPerS", 1),
+                    Fields.getDouble(type, "price", 1),
+                    Fields.getDouble(type, "marketPrice", Fields.getDouble(type, "price", 1)),
+                    Fields.getDouble(type, "bootS", 60),
                     zones == null ? List.of() : List.copyOf(zones)));
         }
-        return out;
+        return types;
     }
 
-    /** The catalogue as kept in the state service, for nodes that start while the cloud is down. */
+    /** Returns machine types as stored in the state service for controllers that start while the cloud's API is down. */
     public static Map<String, Object> writeMachineTypes(List<MachineType> types) {
-        List<Object> l = new ArrayList<>();
-        for (MachineType t : types) {
-            Map<String, Object> b = new LinkedHashMap<>();
-            b.put("name", t.name());
-            b.put("vcpus", t.capacity().cpus());
-            b.put("cards", t.capacity().gpus());
-            b.put("ramGb", t.capacity().ramGb());
-            b.put("cacheGb", t.imageCacheGb());
-            b.put("fetchGbPerS", t.fetchGbPerS());
-            b.put("price", t.onDemandPricePerHour());
-            b.put("marketPrice", t.spotPricePerHour());
-            b.put("bootS", t.bootS());
-            b.put("sites", t.zones());
-            l.add(b);
+        List<Object> elements = new ArrayList<>();
+        for (MachineType type : types) {
+            Map<String, Object> element = new LinkedHashMap<>();
+            element.put("name", type.name());
+            element.put("vcpus", type.capacity().cpus());
+            element.put("cards", type.capacity().gpus());
+            element.put("ramGb", type.capacity().ramGb());
+            element.put("cacheGb", type.imageCacheGb());
+            element.put("fetchGbPerS", type.fetchGbPerS());
+            element.put("price", type.onDemandPricePerHour());
+            element.put("marketPrice", type.spotPricePerHour());
+            element.put("bootS", type.bootS());
+            element.put("sites", type.zones());
+            elements.add(element);
         }
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("builds", l);
-        return m;
+        Map<String, Object> message = new LinkedHashMap<>();
+        message.put("builds", elements);
+        return message;
     }
 
-    /** The body of a rental request. */
-    public static Map<String, Object> rentalRequest(RentalRequest r) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("hire", r.name());
-        m.put("build", r.type());
-        m.put("site", r.zone());
-        m.put("loaners", r.spot());
-        m.put("howMany", (long) r.count());
-        return m;
+    /** Returns the body of a rental request. */
+    public static Map<String, Object> rentalRequest(RentalRequest rental) {
+        Map<String, Object> message = new LinkedHashMap<>();
+        message.put("hire", rental.name());
+        message.put("build", rental.type());
+        message.put("site", rental.zone());
+        message.put("loaners", rental.spot());
+        message.put("howMany", (long) rental.count());
+        return message;
     }
 
-    /** The names of the machines that a rental has brought. */
-    public static List<String> rentedNames(Map<String, Object> m) {
-        List<String> l = Fields.getStrings(m, "rigs");
-        return l == null ? List.of() : l;
+    /** Returns the names of the rented machines in the response to a rental. */
+    public static List<String> rentedNames(Map<String, Object> message) {
+        List<String> names = Fields.getStrings(message, "rigs");
+        return names == null ? List.of() : names;
     }
 
-    /** The body of a request to return machines. */
+    /** Returns the body of a request to return machines. */
     public static Map<String, Object> returnRequest(List<String> names) {
         return Map.of("rigs", names);
     }
 
-    /** The machines of one page of the list. */
-    public static List<ListedMachine> listedMachines(Map<String, Object> m) {
-        List<ListedMachine> out = new ArrayList<>();
-        for (Object o : Fields.getList(m, "rigs")) {
-            Map<String, Object> r = Fields.asMap(o);
-            String name = Fields.getString(r, "nameId");
+    /** Returns the machines on one page of the machine list. */
+    public static List<ListedMachine> listedMachines(Map<String, Object> message) {
+        List<ListedMachine> machines = new ArrayList<>();
+        for (Object element : Fields.getList(message, "rigs")) {
+            Map<String, Object> machine = Fields.asMap(element);
+            String name = Fields.getString(machine, "nameId");
             if (name == null) {
                 continue;
             }
-            ListedMachine.Status s =
-                    switch (Fields.getString(r, "status", "")) {
+            ListedMachine.Status status =
+                    switch (Fields.getString(machine, "status", "")) {
                         case "booting" -> ListedMachine.Status.BOOTING;
                         case "failed" -> ListedMachine.Status.FAILED;
                         default -> ListedMachine.Status.RUNNING;
                     };
-            out.add(new ListedMachine(
+            machines.add(new ListedMachine(
                     name,
-                    Fields.getString(r, "address"),
-                    Fields.getString(r, "build", ""),
-                    Fields.getString(r, "site", ""),
-                    Fields.getBoolean(r, "loaners"),
-                    s,
-                    Fields.getDouble(r, "ageS", 0)));
+                    Fields.getString(machine, "address"),
+                    Fields.getString(machine, "build", ""),
+                    Fields.getString(machine, "site", ""),
+                    Fields.getBoolean(machine, "loaners"),
+                    status,
+                    Fields.getDouble(machine, "ageS", 0)));
         }
-        return out;
+        return machines;
     }
 
-    /** Whether another page of the list follows. */
-    public static boolean hasNextPage(Map<String, Object> m) {
-        return Fields.getBoolean(m, "hasNext");
+    /** Whether another page of the machine list follows. */
+    public static boolean hasNextPage(Map<String, Object> message) {
+        return Fields.getBoolean(message, "hasNext");
     }
 }
--- a/src/main/java/org/mountlug/wire/Cbor.java
+++ b/src/main/java/org/mountlug/wire/Cbor.java
@@ -13,86 +13,90 @@
 import java.util.Map;
 
 /**
- * Bodies as plain maps and lists, over Jackson's streaming reader and writer: no reflection, which costs a JVM on a
- * quarter of a core more than the parsing itself.
+ * Reads and writes message bodies as plain maps and lists, with Jackson's streaming API. Data binding by reflection would take
+ * more time than the parsing itself on a JVM with a quarter of a core.
  */
 public final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
-    private static final int DEPTH_MAX = 24;
+    private static final int MAX_DEPTH = 24;
 
     private Cbor() {}
 
-    /** Reads one value; anything after it, or nothing, is an error. */
+    /** Reads a body of exactly one value; throws if it is empty or has more than one. */
     public static Object read(byte[] body) throws IOException {
-        try (JsonParser p = FACTORY.createParser(body)) {
-            if (p.nextToken() == null) {
+        try (JsonParser parser = FACTORY.createParser(body)) {
+            if (parser.nextToken() == null) {
                 throw new IOException("empty body");
             }
-            Object v = readValue(p, 0);
-            if (p.nextToken() != null) {
-                throw new IOException("more than one value");
+            Object value = readValue(parser, 0);
+            if (parser.nextToken() != null) {
+                throw new IOException("body has more than one value");
             }
-            return v;
+            return value;
         }
     }
 
-    /** Reads a message; throws if it is no map. */
+    /** Reads a message; throws if the body is not a map. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> readMap(byte[] body) throws IOException {
-        Object v = read(body);
-        if (!(v instanceof Map)) {
-            throw new IOException("not a map");
+        Object value = read(body);
+        if (!(value instanceof Map)) {
+            throw new IOException("body is not a map");
         }
-        return (Map<String, Object>) v;
+        return (Map<String, Object>) value;
     }
 
-    /** Reads the value at which a streaming parser stands; serves TOML as well. */
-    public static Object readValue(JsonParser p, int depth) throws IOException {
-        if (depth > DEPTH_MAX) {
-            throw new IOException("nested too deeply");
+    /**
+     * Reads the value at the parser's current position; used for TOML as well.
+     *
+     * @param depth number of maps and lists around the value
+     */
+    public static Object readValue(JsonParser parser, int depth) throws IOException {
+        if (depth > MAX_DEPTH) {
+            throw new IOException("value is nested too deeply");
         }
-        JsonToken t = p.currentToken();
-        if (t == null) {
-            throw new IOException("value cut short");
+        JsonToken token = parser.currentToken();
+        if (token == null) {
+            throw new IOException("value is incomplete");
         }
-        switch (t) {
+        switch (token) {
             case START_OBJECT -> {
-                Map<String, Object> m = new LinkedHashMap<>();
+                Map<String, Object> map = new LinkedHashMap<>();
                 while (true) {
-                    JsonToken n = p.nextToken();
-                    if (n == JsonToken.END_OBJECT) {
-                        return m;
+                    JsonToken next = parser.nextToken();
+                    if (next == JsonToken.END_OBJECT) {
+                        return map;
                     }
-                    if (n != JsonToken.FIELD_NAME) {
-                        throw new IOException("value cut short");
+                    if (next != JsonToken.FIELD_NAME) {
+                        throw new IOException("map is incomplete or has a key that is not a text");
                     }
-                    String k = p.currentName();
-                    p.nextToken();
-                    m.put(k, readValue(p, depth + 1));
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    map.put(name, readValue(parser, depth + 1));
                 }
             }
             case START_ARRAY -> {
-                List<Object> l = new ArrayList<>();
+                List<Object> list = new ArrayList<>();
                 while (true) {
-                    JsonToken n = p.nextToken();
-                    if (n == JsonToken.END_ARRAY) {
-                        return l;
+                    JsonToken next = parser.nextToken();
+                    if (next == JsonToken.END_ARRAY) {
+                        return list;
                     }
-                    if (n == null) {
-                        throw new IOException("value cut short");
+                    if (next == null) {
+                        throw new IOException("list is incomplete");
                     }
-                    l.add(readValue(p, depth + 1));
+                    list.add(readValue(parser, depth + 1));
                 }
             }
             case VALUE_STRING -> {
-                return p.getText();
+                return parser.getText();
             }
             case VALUE_NUMBER_INT -> {
-                Number n = p.getNumberValue();
-                return n instanceof BigInteger ? n : (Object) n.longValue();
+                Number number = parser.getNumberValue();
+                return number instanceof BigInteger ? number : (Object) number.longValue();
             }
             case VALUE_NUMBER_FLOAT -> {
-                return p.getDoubleValue();
+                return parser.getDoubleValue();
             }
             case VALUE_TRUE -> {
                 return Boolean.TRUE;
@@ -103,51 +107,51 @@
             case VALUE_NULL -> {
                 return null;
             }
-            default -> throw new IOException("unsupported value");
+            default -> throw new IOException("unsupported type of value");
         }
     }
 
-    /** Writes a message. */
-    public static byte[] write(Object v) {
+    /** Returns a message as CBOR. */
+    public static byte[] write(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = FACTORY.createGenerator(out)) {
-            put(g, v);
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            writeValue(generator, value);
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory failed", e);
         }
         return out.toByteArray();
     }
 
-    private static void put(JsonGenerator g, Object v) throws IOException {
-        if (v == null) {
-            g.writeNull();
-        } else if (v instanceof String s) {
-            g.writeString(s);
-        } else if (v instanceof Long n) {
-            g.writeNumber(n.longValue());
-        } else if (v instanceof Integer n) {
-            g.writeNumber(n.intValue());
-        } else if (v instanceof Double d) {
-            g.writeNumber(d.doubleValue());
-        } else if (v instanceof BigInteger b) {
-            g.writeNumber(b);
-        } else if (v instanceof Boolean b) {
-            g.writeBoolean(b);
-        } else if (v instanceof Map<?, ?> m) {
-            g.writeStartObject(m, m.size());
-            for (Map.Entry<?, ?> e : m.entrySet()) {
-                g.writeFieldName((String) e.getKey());
-                put(g, e.getValue());
+    private static void writeValue(JsonGenerator generator, Object value) throws IOException {
+        if (value == null) {
+            generator.writeNull();
+        } else if (value instanceof String text) {
+            generator.writeString(text);
+        } else if (value instanceof Long number) {
+            generator.writeNumber(number.longValue());
+        } else if (value instanceof Integer number) {
+            generator.writeNumber(number.intValue());
+        } else if (value instanceof Double number) {
+            generator.writeNumber(number.doubleValue());
+        } else if (value instanceof BigInteger number) {
+            generator.writeNumber(number);
+        } else if (value instanceof Boolean flag) {
+            generator.writeBoolean(flag);
+        } else if (value instanceof Map<?, ?> map) {
+            generator.writeStartObject(map, map.size());
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                generator.writeFieldName((String) entry.getKey());
+                writeValue(generator, entry.getValue());
             }
-            g.writeEndObject();
-        } else if (v instanceof List<?> l) {
-            g.writeStartArray(l, l.size());
-            for (Object o : l) {
-                put(g, o);
+            generator.writeEndObject();
+        } else if (value instanceof List<?> list) {
+            generator.writeStartArray(list, list.size());
+            for (Object element : list) {
+                writeValue(generator, element);
             }
-            g.writeEndArray();
+            generator.writeEndArray();
         } else {
-            throw new IllegalArgumentException("cannot write " + v.getClass());
+            throw new IllegalArgumentException("cannot write a value of " + value.getClass());
         }
     }
 }
--- a/src/main/java/org/mountlug/wire/Fields.java
+++ b/src/main/java/org/mountlug/wire/Fields.java
@@ -4,11 +4,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Lenient access to fields of messages from parties we trust to keep the protocol; users' bodies are checked apart. */
+/**
+ * Lenient access to fields of messages from services that are trusted to keep the protocol. Bodies from users are validated
+ * elsewhere.
+ */
 public final class Fields {
     private Fields() {}
 
-    /** A map of these names and values, in this order. */
+    /** Returns a map of these names and values, given alternately, in this order. */
     public static Map<String, Object> orderedMap(Object... namesAndValues) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -17,46 +20,46 @@
         return map;
     }
 
-    /** A text, or null. */
-    public static String getString(Map<String, Object> m, String k) {
-        return m.get(k) instanceof String s ? s : null;
+    /** Returns the text of a field, or null if it is absent or no text. */
+    public static String getString(Map<String, Object> fields, String name) {
+        return fields.get(name) instanceof String text ? text : null;
     }
 
-    /** A text, or the default. */
-    public static String getString(Map<String, Object> m, String k, String def) {
-        return m.get(k) instanceof String s ? s : def;
+    /** Returns the text of a field, or the default if it is absent or no text. */
+    public static String getString(Map<String, Object> fields, String name, String defaultValue) {
+        return fields.get(name) instanceof String text ? text : defaultValue;
     }
 
-    /** An integer, or the default. */
-    public static long getLong(Map<String, Object> m, String k, long def) {
-        return m.get(k) instanceof Number n ? n.longValue() : def;
+    /** Returns the number of a field as an integer, or the default if it is absent or no number. */
+    public static long getLong(Map<String, Object> fields, String name, long defaultValue) {
+        return fields.get(name) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    /** A number, or the default. */
-    public static double getDouble(Map<String, Object> m, String k, double def) {
-        return m.get(k) instanceof Number n ? n.doubleValue() : def;
+    /** Returns the number of a field, or the default if it is absent or no number. */
+    public static double getDouble(Map<String, Object> fields, String name, double defaultValue) {
+        return fields.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** A boolean; false if it is absent. */
-    public static boolean getBoolean(Map<String, Object> m, String k) {
-        return Boolean.TRUE.equals(m.get(k));
+    /** Returns the boolean of a field, or false if it is absent or no boolean. */
+    public static boolean getBoolean(Map<String, Object> fields, String name) {
+        return Boolean.TRUE.equals(fields.get(name));
     }
 
-    /** A map; empty if it is none. */
+    /** Returns the value as a map, or an empty map if it is not one. */
     @SuppressWarnings("unchecked")
-    public static Map<String, Object> asMap(Object o) {
-        return o instanceof Map ? (Map<String, Object>) o : Map.of();
+    public static Map<String, Object> asMap(Object value) {
+        return value instanceof Map ? (Map<String, Object>) value : Map.of();
     }
 
-    /** A list; empty if it is absent. */
+    /** Returns the list of a field, or an empty list if it is absent or no list. */
     @SuppressWarnings("unchecked")
-    public static List<Object> getList(Map<String, Object> m, String k) {
-        return m.get(k) instanceof List ? (List<Object>) m.get(k) : List.of();
+    public static List<Object> getList(Map<String, Object> fields, String name) {
+        return fields.get(name) instanceof List ? (List<Object>) fields.get(name) : List.of();
     }
 
-    /** A list of texts, or null if it is absent. */
+    /** Returns the list of a field, or null if it is absent or no list; its elements are not checked to be texts. */
     @SuppressWarnings("unchecked")
-    public static List<String> getStrings(Map<String, Object> m, String k) {
-        return m.get(k) instanceof List ? (List<String>) m.get(k) : null;
+    public static List<String> getStrings(Map<String, Object> fields, String name) {
+        return fields.get(name) instanceof List ? (List<String>) fields.get(name) : null;
     }
 }
--- a/src/main/java/org/mountlug/wire/HttpTransport.java
+++ b/src/main/java/org/mountlug/wire/HttpTransport.java
@@ -4,13 +4,18 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Requests to one outside system: over sockets in service, to stand-ins in memory in tests. */
+/** Sends requests to one other service: over sockets in production, to in-memory fakes in tests. */
 public interface HttpTransport {
-    /** Sends a request; {@code then} runs exactly once, with no answer at the latest after {@code timeoutMs}. */
+    /**
+     * Sends a request. {@code onResponse} runs exactly once: after {@code timeoutMs} at the latest, then with a response that
+     * {@linkplain PooledHttpClient.Response#isMissing() is missing}.
+     *
+     * @param body null for a request without a body
+     */
     void call(
             HttpString method,
             String path,
             Map<String, Object> body,
             int timeoutMs,
-            Consumer<PooledHttpClient.Response> then);
+            Consumer<PooledHttpClient.Response> onResponse);
 }
--- a/src/main/java/org/mountlug/wire/Json.java
+++ b/src/main/java/org/mountlug/wire/Json.java
@@ -3,34 +3,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** How long a value is in JSON, the form in which the protocol counts sizes; nothing is ever written in it. */
+/** Computes the length of values in JSON, by which the protocol limits sizes. Nothing is written as JSON. */
 public final class Json {
     private Json() {}
 
-    /** The number of characters of a value as JSON. */
-    public static int length(Object o) {
-        if (o instanceof Map<?, ?> m) {
-            int n = 2 + Math.max(0, m.size() - 1);
-            for (Map.Entry<?, ?> e : m.entrySet()) {
-                n += length(e.getKey()) + 1 + length(e.getValue());
+    /** Returns the number of characters of a value in JSON, with characters outside printable ASCII as escapes. */
+    public static int length(Object value) {
+        if (value instanceof Map<?, ?> map) {
+            int chars = 2 + Math.max(0, map.size() - 1);
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                chars += length(entry.getKey()) + 1 + length(entry.getValue());
             }
-            return n;
+            return chars;
         }
-        if (o instanceof List<?> l) {
-            int n = 2 + Math.max(0, l.size() - 1);
-            for (Object x : l) {
-                n += length(x);
+        if (value instanceof List<?> list) {
+            int chars = 2 + Math.max(0, list.size() - 1);
+            for (Object element : list) {
+                chars += length(element);
             }
-            return n;
+            return chars;
         }
-        if (!(o instanceof String s)) {
-            return String.valueOf(o).length();
+        if (!(value instanceof String text)) {
+            return String.valueOf(value).length();
         }
-        int n = 2;
-        for (int i = 0; i < s.length(); i++) {
-            char c = s.charAt(i);
-            n += c == '"' || c == '\\' ? 2 : c < ' ' || c > '~' ? 6 : 1;
+        int chars = 2;
+        for (int i = 0; i < text.length(); i++) {
+            char character = text.charAt(i);
+            chars += character == '"' || character == '\\' ? 2 : character < ' ' || character > '~' ? 6 : 1;
         }
-        return n;
+        return chars;
     }
 }
--- a/src/main/java/org/mountlug/wire/PooledHttpClient.java
+++ b/src/main/java/org/mountlug/wire/PooledHttpClient.java
@@ -26,293 +26,315 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Requests to one address over kept connections, on the I/O thread only. Every call has a time limit after which its
- * connection is closed, since a party behind a cut stays silent without an error; the number of connections and of
- * waiting calls is bounded.
+ * HTTP client for one address with a connection pool, used on the I/O thread only. Every call has a time limit after which
+ * its connection is closed, because a server behind a network partition stays silent without an error. The numbers of
+ * connections and of waiting calls are bounded.
  */
 public final class PooledHttpClient implements HttpTransport {
-    /** What came back; {@code status} 0 means no answer, so the request may have been carried out, now or later. */
+    /**
+     * The result of a call.
+     *
+     * @param status HTTP status, or 0 without a (readable) response
+     * @param body the decoded body; empty without one
+     * @param requestSent false if the request was certainly not sent; if true and the status is 0, it may have been executed
+     *     or may still be executed
+     */
     public record Response(int status, Map<String, Object> body, boolean requestSent) {
-        /** Whether there was no answer at all. */
+        /** Whether there was no (readable) response. */
         public boolean isMissing() {
             return status == 0;
         }
     }
 
-    private static final Response NOTHING = new Response(0, Map.of(), true);
-    private static final Response UNSENT = new Response(0, Map.of(), false);
+    private static final Response NO_RESPONSE = new Response(0, Map.of(), true);
+    private static final Response NOT_SENT = new Response(0, Map.of(), false);
 
-    private final HttpClientProvider client = new HttpClientProvider();
-    private final XnioIoThread thread;
-    private final ByteBufferPool pool;
+    private final HttpClientProvider clientProvider = new HttpClientProvider();
+    private final XnioIoThread ioThread;
+    private final ByteBufferPool bufferPool;
     private final URI uri;
-    private final String host;
-    private final int most;
-    private final boolean keep;
-    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-    private int open;
+    private final String hostHeader;
+    private final int maxConnections;
+    private final boolean keepConnections;
+    private final ArrayDeque<ClientConnection> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
+    /** Number of connections that are open or being opened. */
+    private int openConnections;
 
-    /** A client of one address with at most so many connections, which are kept open between calls. */
-    public PooledHttpClient(XnioIoThread thread, ByteBufferPool pool, String address, int most) {
-        this(thread, pool, address, most, true);
+    /** Creates a client whose connections, at most {@code maxConnections}, are kept open between calls. */
+    public PooledHttpClient(XnioIoThread ioThread, ByteBufferPool bufferPool, String address, int maxConnections) {
+        this(ioThread, bufferPool, address, maxConnections, true);
     }
 
-    /** @param keep whether connections are kept for later calls; to hundreds of workers they would be too many */
-    public PooledHttpClient(XnioIoThread thread, ByteBufferPool pool, String address, int most, boolean keep) {
-        this.keep = keep;
-        this.thread = thread;
-        this.pool = pool;
+    /**
+     * Creates a client with at most {@code maxConnections} connections.
+     *
+     * @param keepConnections whether connections are kept open for later calls; false for workers, as hundreds of them would
+     *     need too many connections
+     */
+    public PooledHttpClient(
+            XnioIoThread ioThread,
+            ByteBufferPool bufferPool,
+            String address,
+            int maxConnections,
+            boolean keepConnections) {
+        this.keepConnections = keepConnections;
+        this.ioThread = ioThread;
+        this.bufferPool = bufferPool;
         this.uri = URI.create("http://" + address);
-        this.host = address;
-        this.most = most;
+        this.hostHeader = address;
+        this.maxConnections = maxConnections;
     }
 
-    /** Must be called on the I/O thread, on which {@code then} runs as well. */
+    /** Must be called on the I/O thread, on which {@code onResponse} runs as well. */
     @Override
-    public void call(HttpString method, String path, Map<String, Object> body, int timeoutMs, Consumer<Response> then) {
-        Call c = new Call(method, path, body == null ? null : Cbor.write(body), timeoutMs, then);
-        c.timer = thread.executeAfter(c::timeout, timeoutMs, TimeUnit.MILLISECONDS);
-        start(c);
+    public void call(
+            HttpString method, String path, Map<String, Object> body, int timeoutMs, Consumer<Response> onResponse) {
+        Call call = new Call(method, path, body == null ? null : Cbor.write(body), timeoutMs, onResponse);
+        call.timer = ioThread.executeAfter(call::timeout, timeoutMs, TimeUnit.MILLISECONDS);
+        start(call);
     }
 
-    private void start(Call c) {
-        ClientConnection k;
-        while ((k = idle.pollLast()) != null) {
-            if (k.isOpen()) {
-                c.send(k);
+    private void start(Call call) {
+        ClientConnection idleConnection;
+        while ((idleConnection = idleConnections.pollLast()) != null) {
+            if (idleConnection.isOpen()) {
+                call.send(idleConnection);
                 return;
             }
-            open--;
+            openConnections--;
         }
-        if (open >= most) {
-            if (waiting.size() < 4 * most) {
-                waiting.add(c);
+        if (openConnections >= maxConnections) {
+            if (waitingCalls.size() < 4 * maxConnections) {
+                waitingCalls.add(call);
             } else {
-                c.finish(UNSENT);
+                call.finish(NOT_SENT);
             }
             return;
         }
-        open++;
-        c.connecting = true;
-        client.connect(
+        openConnections++;
+        call.connecting = true;
+        clientProvider.connect(
                 new ClientCallback<>() {
                     @Override
-                    public void completed(ClientConnection k) {
-                        if (c.over) {
-                            release(k, true);
+                    public void completed(ClientConnection connection) {
+                        if (call.finished) {
+                            release(connection, true);
                         } else {
-                            c.connecting = false;
-                            c.send(k);
+                            call.connecting = false;
+                            call.send(connection);
                         }
                     }
 
                     @Override
                     public void failed(IOException e) {
-                        open--;
-                        c.finish(UNSENT);
-                        next();
+                        openConnections--;
+                        call.finish(NOT_SENT);
+                        startNextWaitingCall();
                     }
                 },
                 uri,
-                thread,
+                ioThread,
                 null,
-                pool,
+                bufferPool,
                 OptionMap.EMPTY);
     }
 
-    private void release(ClientConnection k, boolean usable) {
-        if (usable && keep && k.isOpen()) {
-            idle.addLast(k);
+    private void release(ClientConnection connection, boolean reusable) {
+        if (reusable && keepConnections && connection.isOpen()) {
+            idleConnections.addLast(connection);
         } else {
-            IoUtils.safeClose(k);
-            open--;
+            IoUtils.safeClose(connection);
+            openConnections--;
         }
-        next();
+        startNextWaitingCall();
     }
 
-    private void next() {
-        while (!waiting.isEmpty() && (open < most || !idle.isEmpty())) {
-            Call c = waiting.poll();
-            if (!c.over) {
-                start(c);
+    private void startNextWaitingCall() {
+        while (!waitingCalls.isEmpty() && (openConnections < maxConnections || !idleConnections.isEmpty())) {
+            Call call = waitingCalls.poll();
+            if (!call.finished) {
+                start(call);
                 return;
             }
         }
     }
 
+    /** One request and its response. */
     private final class Call {
         final HttpString method;
         final String path;
         final byte[] body;
-        final Consumer<Response> then;
-        /** When it is given up; the timer may fire late. */
-        final long dueNs;
+        final Consumer<Response> onResponse;
+        /** Value of {@link System#nanoTime()} after which a response is too old to be used; the timer may fire later. */
+        final long deadlineNs;
 
         XnioExecutor.Key timer;
         ClientConnection connection;
         boolean connecting;
-        boolean over;
-        ByteArrayOutputStream in;
+        boolean finished;
+        ByteArrayOutputStream responseBytes;
 
-        Call(HttpString method, String path, byte[] body, int timeoutMs, Consumer<Response> then) {
-            this.dueNs = System.nanoTime() + timeoutMs * 1_000_000L;
+        Call(HttpString method, String path, byte[] body, int timeoutMs, Consumer<Response> onResponse) {
+            this.deadlineNs = System.nanoTime() + timeoutMs * 1_000_000L;
             this.method = method;
             this.path = path;
             this.body = body;
-            this.then = then;
+            this.onResponse = onResponse;
         }
 
         void timeout() {
-            if (over) {
+            if (finished) {
                 return;
             }
-            ClientConnection k = connection;
+            ClientConnection usedConnection = connection;
             connection = null;
-            boolean sent = k != null;
-            if (k != null) {
-                release(k, false);
+            boolean sent = usedConnection != null;
+            if (usedConnection != null) {
+                release(usedConnection, false);
             }
-            finish(sent ? NOTHING : UNSENT);
+            finish(sent ? NO_RESPONSE : NOT_SENT);
         }
 
-        void finish(Response a) {
-            if (over) {
+        void finish(Response response) {
+            if (finished) {
                 return;
             }
-            over = true;
+            finished = true;
             if (timer != null) {
                 timer.remove();
             }
-            then.accept(a);
+            onResponse.accept(response);
         }
 
-        void lost() {
-            ClientConnection k = connection;
+        void failConnection() {
+            ClientConnection failedConnection = connection;
             connection = null;
-            if (k != null) {
-                release(k, false);
+            if (failedConnection != null) {
+                release(failedConnection, false);
             }
-            finish(NOTHING);
+            finish(NO_RESPONSE);
         }
 
-        void send(ClientConnection k) {
-            connection = k;
-            ClientRequest r = new ClientRequest().setMethod(method).setPath(path);
-            r.getRequestHeaders().put(Headers.HOST, host);
+        void send(ClientConnection openConnection) {
+            connection = openConnection;
+            ClientRequest request = new ClientRequest().setMethod(method).setPath(path);
+            request.getRequestHeaders().put(Headers.HOST, hostHeader);
             if (body != null) {
-                r.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(body.length));
-                r.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
+                request.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(body.length));
+                request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
             }
-            k.sendRequest(r, new ClientCallback<>() {
+            openConnection.sendRequest(request, new ClientCallback<>() {
                 @Override
-                public void completed(ClientExchange x) {
-                    x.setResponseListener(new ClientCallback<>() {
+                public void completed(ClientExchange exchange) {
+                    exchange.setResponseListener(new ClientCallback<>() {
                         @Override
-                        public void completed(ClientExchange y) {
-                            read(y);
+                        public void completed(ClientExchange answeredExchange) {
+                            startReading(answeredExchange);
                         }
 
                         @Override
                         public void failed(IOException e) {
-                            lost();
+                            failConnection();
                         }
                     });
                     if (body != null) {
-                        write(x.getRequestChannel());
+                        startWriting(exchange.getRequestChannel());
                     }
                 }
 
                 @Override
                 public void failed(IOException e) {
-                    lost();
+                    failConnection();
                 }
             });
         }
 
-        void write(StreamSinkChannel ch) {
-            ByteBuffer b = ByteBuffer.wrap(body);
-            ch.getWriteSetter().set(c -> push(c, b));
-            push(ch, b);
+        void startWriting(StreamSinkChannel requestChannel) {
+            ByteBuffer buffer = ByteBuffer.wrap(body);
+            requestChannel.getWriteSetter().set(c -> continueWriting(c, buffer));
+            continueWriting(requestChannel, buffer);
         }
 
-        void push(StreamSinkChannel ch, ByteBuffer b) {
+        void continueWriting(StreamSinkChannel requestChannel, ByteBuffer buffer) {
             try {
-                while (b.hasRemaining()) {
-                    if (ch.write(b) == 0) {
-                        ch.resumeWrites();
+                while (buffer.hasRemaining()) {
+                    if (requestChannel.write(buffer) == 0) {
+                        requestChannel.resumeWrites();
                         return;
                     }
                 }
-                ch.shutdownWrites();
-                if (!ch.flush()) {
-                    ch.getWriteSetter().set(ChannelListeners.flushingChannelListener(null, (c, e) -> lost()));
-                    ch.resumeWrites();
+                requestChannel.shutdownWrites();
+                if (!requestChannel.flush()) {
+                    requestChannel
+                            .getWriteSetter()
+                            .set(ChannelListeners.flushingChannelListener(null, (c, e) -> failConnection()));
+                    requestChannel.resumeWrites();
                 } else {
-                    ch.suspendWrites();
+                    requestChannel.suspendWrites();
                 }
             } catch (IOException e) {
-                lost();
+                failConnection();
             }
         }
 
-        void read(ClientExchange x) {
-            in = new ByteArrayOutputStream(512);
-            StreamSourceChannel ch = x.getResponseChannel();
-            ch.getReadSetter().set(c -> pull(x, c));
-            pull(x, ch);
+        void startReading(ClientExchange exchange) {
+            responseBytes = new ByteArrayOutputStream(512);
+            StreamSourceChannel responseChannel = exchange.getResponseChannel();
+            responseChannel.getReadSetter().set(c -> continueReading(exchange, c));
+            continueReading(exchange, responseChannel);
         }
 
-        void pull(ClientExchange x, StreamSourceChannel ch) {
+        void continueReading(ClientExchange exchange, StreamSourceChannel responseChannel) {
             if (connection == null) {
                 return;
             }
-            try (PooledByteBuffer p = pool.allocate()) {
-                ByteBuffer b = p.getBuffer();
+            try (PooledByteBuffer pooledBuffer = bufferPool.allocate()) {
+                ByteBuffer buffer = pooledBuffer.getBuffer();
                 while (true) {
-                    b.clear();
-                    int n = ch.read(b);
-                    if (n == 0) {
-                        ch.resumeReads();
+                    buffer.clear();
+                    int bytesRead = responseChannel.read(buffer);
+                    if (bytesRead == 0) {
+                        responseChannel.resumeReads();
                         return;
                     }
-                    if (n < 0) {
+                    if (bytesRead < 0) {
                         break;
                     }
-                    b.flip();
-                    byte[] a = new byte[b.remaining()];
-                    b.get(a);
-                    in.write(a, 0, a.length);
+                    buffer.flip();
+                    byte[] bytes = new byte[buffer.remaining()];
+                    buffer.get(bytes);
+                    responseBytes.write(bytes, 0, bytes.length);
                 }
             } catch (IOException e) {
-                lost();
+                failConnection();
                 return;
             }
-            if (System.nanoTime() - dueNs > 0) {
-                lost(); // it waited in the socket while this process stood still: as old as if it had been given up
+            if (System.nanoTime() - deadlineNs > 0) {
+                failConnection(); // the response waited in the socket during a process pause and is out of date
                 return;
             }
-            int status = x.getResponse().getResponseCode();
-            Map<String, Object> m = Map.of();
-            byte[] raw = in.toByteArray();
-            if (raw.length > 0) {
+            int status = exchange.getResponse().getResponseCode();
+            Map<String, Object> body = Map.of();
+            byte[] encodedBody = responseBytes.toByteArray();
+            if (encodedBody.length > 0) {
                 try {
-                    m = Fields.asMap(Cbor.read(raw));
+                    body = Fields.asMap(Cbor.read(encodedBody));
                 } catch (IOException e) {
                     if (status == 200) {
-                        status = 0; // an answer that cannot be read says nothing of what was done
+                        status = 0; // an unreadable response does not show whether the request was executed
                     }
                 }
             }
-            ClientConnection k = connection;
+            ClientConnection usedConnection = connection;
             connection = null;
-            boolean keep = k.isOpen()
+            boolean reusable = usedConnection.isOpen()
                     && !"close"
                             .equalsIgnoreCase(
-                                    x.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-            // The connection is free only after Undertow has finished the exchange, later in this turn of the thread.
-            thread.execute(() -> release(k, keep));
-            finish(new Response(status, m, true));
+                                    exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
+            // The connection is free only after Undertow has finished the exchange, after this callback has returned.
+            ioThread.execute(() -> release(usedConnection, reusable));
+            finish(new Response(status, body, true));
         }
     }
 }
