--- a/src/main/java/org/mountlug/node/AdmissionPublisher.java
+++ b/src/main/java/org/mountlug/node/AdmissionPublisher.java
@@ -34,7 +34,7 @@
     private final AdmissionControl localAdmission;
     private final boolean enabled;
     /** By key, the revisions of the stored records of the table. */
-    private final Map<String, Long> revisions = new HashMap<>();
+    private final Map<String, Long> storedRevisions = new HashMap<>();
 
     private boolean loaded;
     private boolean callInFlight;
@@ -115,10 +115,10 @@
                 return;
             }
             List<Map<String, Object>> records = new ArrayList<>();
-            revisions.clear();
+            storedRevisions.clear();
             for (Object element : Fields.getList(response.body(), "rows")) {
                 Map<String, Object> row = Fields.asMap(element);
-                revisions.put(Fields.getString(row, "k"), Fields.getLong(row, "stamp", 0));
+                storedRevisions.put(Fields.getString(row, "k"), Fields.getLong(row, "stamp", 0));
                 records.add(Fields.asMap(row.get("v")));
             }
             restore(AdmissionCodec.read(records));
@@ -151,7 +151,9 @@
         Transaction transaction = term.newFencedTransaction();
         for (int recordNumber = 0; recordNumber < recordCount; recordNumber++) {
             String key = StateKeys.ADMISSION + recordNumber;
-            transaction.requireRevision(key, revisions.getOrDefault(key, 0L)).put(key, records.get(recordNumber));
+            transaction
+                    .requireRevision(key, storedRevisions.getOrDefault(key, 0L))
+                    .put(key, records.get(recordNumber));
         }
         writeRateLimit.charge(nowS, recordCount);
         beginCall();
@@ -168,7 +170,7 @@
         if (response.status() == 200) {
             long revision = Fields.getLong(response.body(), "epoch", 0);
             for (int recordNumber = 0; recordNumber < recordCount; recordNumber++) {
-                revisions.put(StateKeys.ADMISSION + recordNumber, revision);
+                storedRevisions.put(StateKeys.ADMISSION + recordNumber, revision);
             }
             queuesLimited = limitsQueues;
         } else if (response.status() != 429 && response.status() != 503) {
--- a/src/main/java/org/mountlug/node/Leader.java
+++ b/src/main/java/org/mountlug/node/Leader.java
@@ -130,13 +130,13 @@
         return term.nowS() - termStartedS;
     }
 
-    /** Returns the number of machines that have reported and that the machine list still shows. */
+    /** Returns the number of machines that have reported and have not disappeared from the machine list. */
     int upMachineCount() {
-        int up = 0;
+        int count = 0;
         for (Machine machine : cluster.machines.values()) {
-            up += machine.hasReported && !machine.unlisted ? 1 : 0;
+            count += machine.hasReported && !machine.unlisted ? 1 : 0;
         }
-        return up;
+        return count;
     }
 
     /** Returns the current state of each zone. */
@@ -168,22 +168,22 @@
         }
 
         @Override
-        public void addJob(Job job, double now) {
+        public void addJob(Job job, double nowS) {
             // The waiting time counts from the submission; otherwise it would start again with each change of leader.
             double ageS = (term.environment.epochMs().getAsLong() - job.spec.submittedMs()) / 1000.0;
-            job.waitingSinceS = now - Math.max(0, ageS);
-            cluster.loadJob(job, now);
+            job.waitingSinceS = nowS - Math.max(0, ageS);
+            cluster.loadJob(job, nowS);
             earlyRoundRequested |= job.spec.isGang()
                     || job.spec.isService()
                     || job.spec.request().gpus() > 0;
             if (job.cancelled && cluster.jobs.get(job.spec.id()) == job) {
                 job.cancelled = false;
-                cluster.applyCancellation(job, now);
+                cluster.applyCancellation(job, nowS);
             }
         }
 
         @Override
-        public void updateJob(String id, Map<String, Object> record, long revision, double now) {
+        public void updateJob(String id, Map<String, Object> record, long revision, double nowS) {
             Job job = cluster.jobs.get(id);
             if (revision <= job.revision) {
                 return;
@@ -261,8 +261,8 @@
 
     /** Applies a worker's report and returns the commands for it, or null if the worker knows a newer leader. */
     List<Command> handleReport(Report report) {
-        double now = term.nowS();
-        return cluster.handleReport(report, term.isLeaseHeld(now), now);
+        double nowS = term.nowS();
+        return cluster.handleReport(report, term.isLeaseHeld(nowS), nowS);
     }
 
     // ---- periodic work ----------------------------------------------------------------------------------------
@@ -272,65 +272,66 @@
         if (term.hasEnded() || !loaded) {
             return;
         }
-        double now = term.nowS();
-        versions.tick(now);
+        double nowS = term.nowS();
+        versions.tick(nowS);
         recordSplitter.tick();
-        machineProvisioner.tick(now);
-        runRoundIfDue(now);
-        commandSender.send(now);
-        imageIndex.tick(now);
-        zoneStateStore.tick(now);
-        admissionPublisher.tick(now);
-        recordWriter.tick(now);
+        machineProvisioner.tick(nowS);
+        runRoundIfDue(nowS);
+        commandSender.send(nowS);
+        imageIndex.tick(nowS);
+        zoneStateStore.tick(nowS);
+        admissionPublisher.tick(nowS);
+        recordWriter.tick(nowS);
     }
 
-    private void runRoundIfDue(double now) {
+    private void runRoundIfDue(double nowS) {
         earlyRoundRequested |= cluster.takeCapacityFreed();
-        boolean early = earlyRoundRequested && now >= lastRoundS + Constants.MIN_EARLY_ROUND_DELAY_MS / 1000.0;
-        if (now < nextRoundS && !early) {
+        boolean early = earlyRoundRequested && nowS >= lastRoundS + Constants.MIN_EARLY_ROUND_DELAY_MS / 1000.0;
+        if (nowS < nextRoundS && !early) {
             return;
         }
         earlyRoundRequested = false;
-        lastRoundS = now;
+        lastRoundS = nowS;
         if (early) {
-            nextRoundS = now + Constants.ROUND_INTERVAL_MS / 1000.0;
+            nextRoundS = nowS + Constants.ROUND_INTERVAL_MS / 1000.0;
         } else {
             nextRoundS = Math.max(
-                    nextRoundS + Constants.ROUND_INTERVAL_MS / 1000.0, now + Constants.ROUND_INTERVAL_MS / 2000.0);
+                    nextRoundS + Constants.ROUND_INTERVAL_MS / 1000.0, nowS + Constants.ROUND_INTERVAL_MS / 2000.0);
         }
-        runRound(now);
+        runRound(nowS);
         if (early) {
             recordWriter.requestImmediateFlush();
         }
     }
 
-    private void runRound(double now) {
+    private void runRound(double nowS) {
         // Silence of a machine means something only while this controller holds the leader lease: otherwise the machine
         // may be reporting to another leader.
-        if (!term.isLeaseHeld(now) || !zoneStateStore.isReady()) {
+        if (!term.isLeaseHeld(nowS) || !zoneStateStore.isReady()) {
             return;
         }
-        cluster.expireLeases(now);
-        zoneMonitor.observe(peerReportCount.getAsInt(), now);
-        cluster.updateStandbys(now);
-        zoneMonitor.planFailback(now);
-        scaler.drain(now);
+        cluster.expireLeases(nowS);
+        zoneMonitor.observe(peerReportCount.getAsInt(), nowS);
+        cluster.updateStandbys(nowS);
+        zoneMonitor.planFailback(nowS);
+        scaler.drain(nowS);
         double epochS = term.environment.epochMs().getAsLong() / 1000.0;
-        ReplicaStartTimes replicaStartTimes = new ReplicaStartTimes(job -> objectives.dueWithinS(job.spec, 0), now);
+        ReplicaStartTimes replicaStartTimes = new ReplicaStartTimes(job -> objectives.dueWithinS(job.spec, 0), nowS);
         Allocator allocator = new Allocator(
                 cluster,
                 zoneMonitor,
                 job -> objectives.orderKey(job.spec, job.pendingTaskCount(), cluster.expectedRunS(job), epochS),
                 replicaStartTimes,
-                now);
+                nowS);
         metrics.countPlacedTasks(allocator.allocate());
-        preemptor.preemptFor(unplacedJobs(epochS), allocator.machineViews(), allocator.usage(), replicaStartTimes, now);
-        machineProvisioner.rentAndReturn(now, epochS);
+        preemptor.preemptFor(
+                unplacedJobs(epochS), allocator.machineViews(), allocator.usage(), replicaStartTimes, nowS);
+        machineProvisioner.rentAndReturn(nowS, epochS);
         logEvents(cluster.takeEvents());
         zoneMonitor.takeTransitions().forEach(line -> LOG.info("{}", line));
         metrics.setZoneStatuses(zoneMonitor.status());
         metrics.setReservationCount(cluster.reservations.size());
-        metrics.setFleetStatus(cluster.status(now));
+        metrics.setFleetStatus(cluster.status(nowS));
     }
 
     /** Returns the jobs with pending tasks, in displacement order if there is one, otherwise by priority and due time. */
--- a/src/main/java/org/mountlug/node/RecordWriter.java
+++ b/src/main/java/org/mountlug/node/RecordWriter.java
@@ -79,7 +79,7 @@
     private final StateClient state;
     private final TokenBucket writeRateLimit;
     private final RecordSplitter recordSplitter;
-    private final ReservationWriter reservations;
+    private final ReservationWriter reservationWriter;
     private final JobRecordWatch recordWatch;
     private final FinishedJobListener finishedJobListener;
 
@@ -99,7 +99,9 @@
     /** Whether an earlier copy of the transaction in flight may have been executed or may still be executed. */
     private boolean outcomeUncertain;
 
-    private double retryAtS;
+    /** Monotonic time before which no transaction is sent, after one that was rejected or not answered. */
+    private double retryNotBeforeS;
+
     private double nextFlushS;
     private long writeCounter;
 
@@ -107,14 +109,14 @@
             LeaderTerm term,
             TokenBucket writeRateLimit,
             RecordSplitter recordSplitter,
-            ReservationWriter reservations,
+            ReservationWriter reservationWriter,
             JobRecordWatch recordWatch,
             FinishedJobListener finishedJobListener) {
         this.term = term;
         this.state = term.environment.state();
         this.writeRateLimit = writeRateLimit;
         this.recordSplitter = recordSplitter;
-        this.reservations = reservations;
+        this.reservationWriter = reservationWriter;
         this.recordWatch = recordWatch;
         this.finishedJobListener = finishedJobListener;
     }
@@ -155,7 +157,7 @@
     // ---- building a transaction -----------------------------------------------------------------------------------
 
     private void flush(double nowS) {
-        if (awaitingStateService || nowS < retryAtS) {
+        if (awaitingStateService || nowS < retryNotBeforeS) {
             return;
         }
         if (transactionInFlight != null) {
@@ -189,9 +191,9 @@
         List<Job> jobs = jobsToWrite(nowS);
         boolean singleJob = singleJobTransactionsLeft > 0;
         if (singleJob && !jobs.isEmpty()) {
-            reservations.clearInFlight();
+            reservationWriter.clearInFlight();
         } else {
-            draft.writeCount = reservations.addChangesTo(draft.transaction, draft.maxWrites, nowS);
+            draft.writeCount = reservationWriter.addChangesTo(draft.transaction, draft.maxWrites, nowS);
         }
         for (Job job : jobs) {
             // A job with changed parts needs its main record and at least one part in a transaction. With less, a job
@@ -318,7 +320,7 @@
                 if (!outcomeUncertain) {
                     clearTransaction(); // it was not executed, and its jobs are still marked as changed
                 }
-                retryAtS = nowS + Constants.UNSERVED_TXN_RETRY_S;
+                retryNotBeforeS = nowS + Constants.UNSERVED_TXN_RETRY_S;
             }
             default -> {
                 // The transaction may have been executed or may still be. Only sending it again unchanged gives a
@@ -328,7 +330,7 @@
                 } else if (!outcomeUncertain) {
                     clearTransaction();
                 }
-                retryAtS = nowS + Constants.UNANSWERED_TXN_RETRY_S;
+                retryNotBeforeS = nowS + Constants.UNANSWERED_TXN_RETRY_S;
             }
         }
     }
@@ -340,7 +342,7 @@
                 markWritten(jobWrite, revision);
             }
         }
-        reservations.recordStored(revision);
+        reservationWriter.recordStored(revision);
         for (int i = 0; i < orphanedKeysInFlight; i++) {
             orphanedKeys.poll();
         }
@@ -389,7 +391,7 @@
     private void clearTransaction() {
         jobWritesInFlight = null;
         transactionInFlight = null;
-        reservations.clearInFlight();
+        reservationWriter.clearInFlight();
         outcomeUncertain = false;
     }
 
@@ -399,8 +401,8 @@
      * A rejection does not mean that there is a new leader: only the leader key and the watch show that.
      */
     private void handleRefusal(double nowS) {
-        retryAtS = nowS + Constants.REFUSED_TXN_PAUSE_S;
-        boolean hasOtherWrites = reservations.isWriteInFlight() || orphanedKeysInFlight > 0;
+        retryNotBeforeS = nowS + Constants.REFUSED_TXN_PAUSE_S;
+        boolean hasOtherWrites = reservationWriter.isWriteInFlight() || orphanedKeysInFlight > 0;
         if (jobWritesInFlight.size() > 1 || !jobWritesInFlight.isEmpty() && hasOtherWrites) {
             singleJobTransactionsLeft = Math.max(singleJobTransactionsLeft, jobWritesInFlight.size());
         } else if (jobWritesInFlight.size() == 1) {
@@ -410,7 +412,7 @@
                 term.cluster.dropUnpersistedPlacements(job, nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
             }
         } else {
-            reservations.recordRefusal(nowS);
+            reservationWriter.recordRefusal(nowS);
             orphanedKeys.clear(); // the next leader finds these keys again when it loads the records
         }
     }
@@ -422,9 +424,10 @@
         }
         awaitingStateService = true;
         ArrayDeque<JobWrite> remaining = new ArrayDeque<>(jobWritesInFlight);
-        if (reservations.isWriteInFlight()) {
-            retryAtS = nowS + Constants.STALE_RESERVATION_RETRY_S; // by then the watch has shown the jobs' records
-            reservations.reload(() -> readBackRecords(remaining));
+        if (reservationWriter.isWriteInFlight()) {
+            // By then the watch has shown the jobs' records.
+            retryNotBeforeS = nowS + Constants.STALE_RESERVATION_RETRY_S;
+            reservationWriter.reload(() -> readBackRecords(remaining));
         } else {
             readBackRecords(remaining);
         }
