--- a/src/main/java/org/mountlug/core/model/AttemptState.java
+++ b/src/main/java/org/mountlug/core/model/AttemptState.java
@@ -1,6 +1,6 @@
 package org.mountlug.core.model;
 
-/** What a worker says of an attempt. */
+/** State of an attempt as its worker reports it. */
 public enum AttemptState {
     FETCHING,
     WAITING_FOR_GANG,
--- a/src/main/java/org/mountlug/core/model/FailureHistory.java
+++ b/src/main/java/org/mountlug/core/model/FailureHistory.java
@@ -6,50 +6,51 @@
 import org.mountlug.Constants;
 
 /**
- * Where the tasks of a job have failed since one of them last completed. A job that never completes anything and fails on
- * several machines is suspected of a mistake of its own: it is then tried one attempt at a time, ever more seldom.
+ * Records on which machines the tasks of a job have failed since one of them last completed. A job that has completed no
+ * task and fails on several machines is suspected of being at fault itself: it is then retried one attempt at a time, with
+ * a delay that doubles with each failed attempt.
  */
 public final class FailureHistory {
     private final Set<String> failedMachines = new LinkedHashSet<>();
     private boolean suspected;
-    private long lastAttempt = -1;
+    private long lastFailedAttempt = -1;
     private int failedAttempts;
 
-    /** Whether the job is suspected of failing everywhere. */
+    /** Whether the job itself, not a machine, is suspected to be the cause of its failures. */
     public boolean isSuspected() {
         return suspected;
     }
 
-    /** The machines on which it has failed. */
+    /** Returns the names of the machines on which tasks of the job have failed. */
     public Set<String> failedMachines() {
         return Collections.unmodifiableSet(failedMachines);
     }
 
-    /** A task of this attempt has failed there; the tasks of a gang that fail together count once. */
+    /** Records the failure of a task; tasks of a gang that fail in the same attempt count as one failed attempt. */
     public void recordFailure(String machine, long attempt) {
         failedMachines.add(machine);
-        if (attempt != lastAttempt) {
-            lastAttempt = attempt;
+        if (attempt != lastFailedAttempt) {
+            lastFailedAttempt = attempt;
             failedAttempts++;
         }
     }
 
-    /** From now on the job is suspected. */
+    /** Marks the job as suspected and resets its retry delay. */
     public void markSuspected() {
         suspected = true;
         failedAttempts = 0;
     }
 
-    /** Seconds for which a suspected job waits before it is tried again. */
+    /** Returns the seconds for which a suspected job waits before it is retried. */
     public double retryDelayS() {
         return Math.min(Constants.MAX_TASK_RETRY_S, Constants.TASK_RETRY_BASE_S * Math.pow(2, failedAttempts));
     }
 
-    /** A task has completed: the job works, and what failed before was not its own fault. */
+    /** Clears the history, as a completed task shows that earlier failures were not the job's fault. */
     public void recordCompletion() {
         failedMachines.clear();
         suspected = false;
         failedAttempts = 0;
-        lastAttempt = -1;
+        lastFailedAttempt = -1;
     }
 }
--- a/src/main/java/org/mountlug/core/model/Job.java
+++ b/src/main/java/org/mountlug/core/model/Job.java
@@ -9,171 +9,204 @@
 import java.util.BitSet;
 
 /**
- * A live job as the leader knows it. Its record in the state service is the point of serialisation: memory runs ahead
- * by {@code version}, and nothing is told to anybody before {@code persisted} has caught up.
+ * A live job in the memory of the leader. Its record in the state service is the point of serialisation: every change in
+ * memory raises {@code version}, and no user or worker learns of a change before {@link #markPersisted} has confirmed that
+ * the record holds it.
  */
 public final class Job {
     public final JobSpec spec;
-    /** Revision of the record this was read from or last written as. */
+    /** Revision of the job record from which the job was read, or as which it was last written. */
     public long revision;
-    /** Identity of the last write by a leader; a user's abort leaves it alone, so both can be told apart. */
+    /**
+     * Identifier of the last write by a leader. A user's cancellation leaves it unchanged, which distinguishes the two
+     * kinds of writes.
+     */
     public String writeId = "";
 
     public boolean cancelled;
-    /** Highest attempt number ever used; survives leaders, so that no number is used twice. */
+    /** Highest attempt number used so far; it is stored, so that no later leader uses a number again. */
     public long lastAttempt;
 
     public final BitSet doneTasks = new BitSet();
     public final Int2ObjectAVLTreeMap<Placement> placements = new Int2ObjectAVLTreeMap<>();
     public final Int2IntOpenHashMap failuresByTask = new Int2IntOpenHashMap();
-    /** Where its tasks failed since one last completed. */
+    /** Machines on which tasks of the job have failed since one last completed. */
     public final FailureHistory failureHistory = new FailureHistory();
-    /** By task of a service: the machine on which it last ended by itself. */
+    /** By replica of a service: the machine on which the replica last exited without a stop command. */
     public final Int2ObjectOpenHashMap<String> avoidedMachineByTask = new Int2ObjectOpenHashMap<>();
-    /** Steady seconds before which a task is not tried again. */
+    /** By task: monotonic time in seconds before which the task is not retried. */
     public final Int2DoubleOpenHashMap retryNotBeforeS = new Int2DoubleOpenHashMap();
 
-    /** Steady seconds before which none of it is started, as what is decided of it cannot be written. */
+    /**
+     * Monotonic time in seconds before which no task of the job is placed, because its record cannot be written or
+     * because the job is suspected.
+     */
     public double pausedUntilS = Double.NEGATIVE_INFINITY;
 
+    /** Number of the last change in memory. */
     public long version;
-    /** How many of the first tasks the job's own record holds; the others are in parts. */
+    /** Number of tasks, from the first, that the main record holds; the record parts hold the remaining ones. */
     private int mainRecordTasks = Integer.MAX_VALUE;
 
     private int tasksPerPart = 1;
-    /** By part, the own record being the first: version of the last change, and the last one that is durable. */
-    private long[] changed = new long[1];
+    /** By part, 0 for the main record: version of the last change. */
+    private long[] changedVersions = new long[1];
 
-    private long[] saved = new long[1];
-    /** By part, what is written but does not count before the own record says that there are parts; else null. */
-    private long[] staged;
-    /** Parts that an earlier leader wrote ahead of a switch that never came: to be written over with it. */
+    /** By part, 0 for the main record: last version that is durable. */
+    private long[] durableVersions = new long[1];
+    /**
+     * By part: version up to which the part is written, or -1. It counts as durable only once the main record refers to
+     * the parts; null while no split is pending.
+     */
+    private long[] stagedVersions;
+    /**
+     * Parts that an earlier leader staged for a split which it never completed. They must be overwritten before the main
+     * record refers to parts.
+     */
     public final BitSet orphanedParts = new BitSet();
-    /** The description as it is written; it leaves out what nobody needs where the whole would not fit a record. */
+    /** The specification as stored; if the full one does not fit a record, machine types that do not exist are left out. */
     public JobSpec storedSpec;
-    /** Steady milliseconds of the oldest change not yet persisted, and whether someone waits for it. */
+    /** Monotonic time in seconds of the oldest change that is not persisted, {@code NaN} if there is none. */
     public double dirtySinceS = Double.NaN;
 
+    /** Whether a user or a worker waits for a change that is not persisted. */
     public boolean writeUrgent;
-    /** Whether any task of it was ever placed or done; what has not begun must not wait for ever. */
+    /** Whether any task was ever placed or done; a job that never had one goes ahead of all queues after a time limit. */
     public boolean everPlaced;
-    /** Steady seconds since which it waits: when it was submitted, as far as the clocks agree. */
+    /** Monotonic time in seconds since which the job waits: its submission, as far as the clocks agree. */
     public double waitingSinceS;
 
-    /** A job of which no task has been placed. */
+    /** Creates a job of which no task has been placed. */
     public Job(JobSpec spec) {
         this.spec = spec;
         this.storedSpec = spec;
     }
 
-    /** Notes a change of the job as a whole; {@code soon} if somebody waits for it. */
+    /**
+     * Records a change of the job as a whole.
+     *
+     * @param urgent whether a user or a worker waits for the change
+     */
     public void markChanged(double nowS, boolean urgent) {
-        touchPart(0, nowS, urgent);
+        markPartChanged(0, nowS, urgent);
     }
 
-    /** Notes a change of one task. */
+    /**
+     * Records a change of one task.
+     *
+     * @param urgent whether a user or a worker waits for the change
+     */
     public void markChanged(int task, double nowS, boolean urgent) {
-        touchPart(partOf(task), nowS, urgent);
+        markPartChanged(partOf(task), nowS, urgent);
     }
 
-    private void touchPart(int part, double nowS, boolean soon) {
-        changed[part] = ++version;
+    private void markPartChanged(int part, double nowS, boolean urgent) {
+        changedVersions[part] = ++version;
         if (Double.isNaN(dirtySinceS)) {
             dirtySinceS = nowS;
         }
-        writeUrgent |= soon;
+        writeUrgent |= urgent;
     }
 
-    /** Whether something of it has changed that is not durable yet. */
+    /** Whether the job has a change that is not durable. */
     public boolean isDirty() {
-        if (staged != null) {
+        if (stagedVersions != null) {
             return true;
         }
-        for (int i = 0; i < changed.length; i++) {
-            if (changed[i] > saved[i]) {
+        for (int part = 0; part < changedVersions.length; part++) {
+            if (changedVersions[part] > durableVersions[part]) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether what was decided of a task in this version is durable. */
+    /** Whether the change of a task that was made in this version is durable. */
     public boolean isDurable(int task, long taskVersion) {
-        return saved[partOf(task)] >= taskVersion;
+        return durableVersions[partOf(task)] >= taskVersion;
     }
 
     // ---- parts --------------------------------------------------------------------------------------------------
 
-    /** The part that holds a task: 0 for the own record. */
+    /** Returns the part that holds a task, 0 for the main record. */
     public int partOf(int task) {
         return task < mainRecordTasks ? 0 : 1 + (task - mainRecordTasks) / tasksPerPart;
     }
 
-    /** Number of records, the own one included. */
+    /** Returns the number of records of the job, the main record included. */
     public int recordCount() {
-        return changed.length;
+        return changedVersions.length;
     }
 
-    /** Whether its record is stored in parts. */
+    /** Whether the job is divided into a main record and record parts. */
     public boolean isSplit() {
-        return changed.length > 1;
+        return changedVersions.length > 1;
     }
 
-    /** How many tasks stand in the job's own record. */
+    /** Returns the number of tasks that the main record holds. */
     public int mainRecordTasks() {
         return Math.min(mainRecordTasks, spec.tasks());
     }
 
-    /** How many tasks stand in each further part. */
+    /** Returns the number of tasks that each part after the main record holds. */
     public int tasksPerPart() {
         return tasksPerPart;
     }
 
-    /** First task of a part, or of the part after the last: the number of tasks. */
+    /** Returns the first task of a part; for the part after the last, the number of tasks. */
     public int firstTaskOf(int part) {
         return part == 0 ? 0 : Math.min(spec.tasks(), mainRecordTasks + (part - 1) * tasksPerPart);
     }
 
-    /** As it is stored: {@code own} tasks in its own record, {@code per} in each part. */
+    /**
+     * Sets how the stored job is divided into records, all of which count as durable.
+     *
+     * @param mainTasks number of tasks in the main record
+     * @param perPart number of tasks in each part
+     */
     public void setLayout(int mainTasks, int perPart) {
         mainRecordTasks = mainTasks;
         tasksPerPart = perPart;
-        int n = 1 + (Math.max(0, spec.tasks() - mainTasks) + perPart - 1) / perPart;
-        changed = new long[n];
-        saved = new long[n];
-        Arrays.fill(changed, version);
-        Arrays.fill(saved, version);
+        int recordCount = 1 + (Math.max(0, spec.tasks() - mainTasks) + perPart - 1) / perPart;
+        changedVersions = new long[recordCount];
+        durableVersions = new long[recordCount];
+        Arrays.fill(changedVersions, version);
+        Arrays.fill(durableVersions, version);
     }
 
     /**
-     * Decides that the job is to be stored in parts from now on. What is durable stays so, as the record that holds it
-     * all is only replaced once every part that holds anything is written ahead (staged); what is decided from now on
-     * is durable only after that.
+     * Begins to split the job into a main record and parts. Durable state stays durable, as the single record that holds
+     * it is replaced only once every part with state is written (staged). Later changes become durable only after that.
+     *
+     * @param mainTasks number of tasks in the main record
+     * @param perPart number of tasks in each part
      */
     public void splitIntoParts(int mainTasks, int perPart, double nowS) {
-        long durable = saved[0];
+        long durableVersion = durableVersions[0];
         setLayout(mainTasks, perPart);
-        Arrays.fill(saved, durable);
-        boolean held = !orphanedParts.isEmpty() || doneTasks.nextSetBit(mainTasks) >= 0;
-        for (Placement p : placements.tailMap(mainTasks).values()) {
-            held |= p.version <= durable;
+        Arrays.fill(durableVersions, durableVersion);
+        boolean partsHoldDurableState = !orphanedParts.isEmpty() || doneTasks.nextSetBit(mainTasks) >= 0;
+        for (Placement placement : placements.tailMap(mainTasks).values()) {
+            partsHoldDurableState |= placement.version <= durableVersion;
         }
-        // Where the one record holds nothing that goes to a part, there is nothing to be written ahead.
-        if (held) {
-            staged = new long[changed.length];
-            Arrays.fill(staged, -1);
+        // If the single record holds no state that moves to a part, no part needs to be staged.
+        if (partsHoldDurableState) {
+            stagedVersions = new long[changedVersions.length];
+            Arrays.fill(stagedVersions, -1);
         }
         version++;
-        Arrays.fill(changed, 0);
-        changed[0] = version;
-        for (int t = doneTasks.nextSetBit(0); t >= 0; t = doneTasks.nextSetBit(t + 1)) {
-            changed[partOf(t)] = version;
+        Arrays.fill(changedVersions, 0);
+        changedVersions[0] = version;
+        for (int task = doneTasks.nextSetBit(0); task >= 0; task = doneTasks.nextSetBit(task + 1)) {
+            changedVersions[partOf(task)] = version;
         }
-        for (int t : placements.keySet()) {
-            changed[partOf(t)] = version;
+        for (int task : placements.keySet()) {
+            changedVersions[partOf(task)] = version;
         }
-        for (int p = orphanedParts.nextSetBit(1); p >= 0 && p < changed.length; p = orphanedParts.nextSetBit(p + 1)) {
-            changed[p] = version;
+        for (int part = orphanedParts.nextSetBit(1);
+                part >= 0 && part < changedVersions.length;
+                part = orphanedParts.nextSetBit(part + 1)) {
+            changedVersions[part] = version;
         }
         orphanedParts.clear();
         if (Double.isNaN(dirtySinceS)) {
@@ -181,78 +214,80 @@
         }
     }
 
-    /** Whether the own record does not yet say that there are parts. */
+    /** Whether parts are being staged and the main record does not yet refer to them. */
     public boolean isSplitPending() {
-        return staged != null;
+        return stagedVersions != null;
     }
 
-    /** Parts beside the own record that have to be written, in order, at most so many. */
+    /** Returns the parts that have to be written, without the main record, in ascending order and at most {@code limit}. */
     public int[] partsToWrite(int limit) {
-        IntArrayList l = new IntArrayList();
-        for (int p = 1; p < changed.length && l.size() < limit; p++) {
-            if (staged != null ? staged[p] < 0 && changed[p] > 0 : changed[p] > saved[p]) {
-                l.add(p);
+        IntArrayList parts = new IntArrayList();
+        for (int part = 1; part < changedVersions.length && parts.size() < limit; part++) {
+            if (stagedVersions != null
+                    ? stagedVersions[part] < 0 && changedVersions[part] > 0
+                    : changedVersions[part] > durableVersions[part]) {
+                parts.add(part);
             }
         }
-        return l.toIntArray();
+        return parts.toIntArray();
     }
 
-    /** These parts were written as of this version, ahead of the own record. */
-    public void markStaged(int[] parts, long v) {
-        if (staged != null) {
-            for (int p : parts) {
-                staged[p] = v;
+    /** Records that these parts were written as of this version, before the main record refers to them. */
+    public void markStaged(int[] parts, long writtenVersion) {
+        if (stagedVersions != null) {
+            for (int part : parts) {
+                stagedVersions[part] = writtenVersion;
             }
         }
     }
 
-    /** The own record, and these parts with it, were written as of this version. */
-    public void markPersisted(int[] parts, long v) {
-        if (staged != null) {
-            for (int p = 1; p < staged.length; p++) {
-                // A part that held nothing when the job was split needs no record until it does.
-                if (staged[p] >= 0) {
-                    saved[p] = staged[p];
+    /** Records that the main record and these parts were written together as of this version, which ends a pending split. */
+    public void markPersisted(int[] parts, long writtenVersion) {
+        if (stagedVersions != null) {
+            for (int part = 1; part < stagedVersions.length; part++) {
+                // A part without state at the time of the split needs no record until it has some.
+                if (stagedVersions[part] >= 0) {
+                    durableVersions[part] = stagedVersions[part];
                 }
             }
-            staged = null;
+            stagedVersions = null;
         }
-        saved[0] = Math.max(saved[0], v);
-        for (int p : parts) {
-            saved[p] = Math.max(saved[p], v);
+        durableVersions[0] = Math.max(durableVersions[0], writtenVersion);
+        for (int part : parts) {
+            durableVersions[part] = Math.max(durableVersions[part], writtenVersion);
         }
     }
 
-    /** Everything decided so far is durable. */
+    /** Records that every change so far is durable. */
     public void markPersisted() {
-        staged = null;
-        Arrays.fill(saved, version);
+        stagedVersions = null;
+        Arrays.fill(durableVersions, version);
     }
 
-    /** Whether every task has a result; of a service none ever counts as one. */
+    /** Whether every task is done; never true for a service, whose replicas have no result. */
     public boolean isComplete() {
         return !spec.isService() && doneTasks.cardinality() >= spec.tasks();
     }
 
-    /** Whether nothing of it can run any more and its record may move to the finished ones. */
+    /** Whether no task can run any more, so that the job record may be replaced by a final record. */
     public boolean isFinished() {
         return cancelled ? placements.isEmpty() : isComplete();
     }
 
     /**
-     * Whether the finished record says done. Once a user has been told that the job is cancelled it stays so, even if
-     * its last task completes before it can be stopped.
+     * Whether the final record says done. A job whose cancellation was acknowledged to a user stays cancelled, even if its
+     * last task completes before it can be stopped.
      */
     public boolean isDone() {
         return isComplete() && !cancelled;
     }
 
-    /** How many tasks are neither done nor placed. */
+    /** Returns the number of tasks that are neither done nor placed. */
     public int pendingTaskCount() {
         return spec.tasks() - doneTasks.cardinality() - placements.size();
     }
 
-    /** Whether this task needs a place now. */
+    /** Whether the task is pending and neither its retry delay nor a pause of the job keeps it from being placed. */
     public boolean needsPlacement(int task, double nowS) {
         return nowS >= pausedUntilS
                 && !doneTasks.get(task)
@@ -260,26 +295,29 @@
                 && retryNotBeforeS.getOrDefault(task, 0.0) <= nowS;
     }
 
-    /** How many of its tasks are placed in the zone. */
+    /** Returns the number of tasks that are placed in the zone. */
     public int placedTasksIn(String zone) {
-        int n = 0;
-        for (Placement p : placements.values()) {
-            if (p.zone.equals(zone)) {
-                n++;
+        int count = 0;
+        for (Placement placement : placements.values()) {
+            if (placement.zone.equals(zone)) {
+                count++;
             }
         }
-        return n;
+        return count;
     }
 
-    /** Whether the job's zone rules allow {@code more} tasks in {@code zone}, given every task not proven gone. */
-    public boolean zoneRulesAllow(String zone, int more) {
+    /**
+     * Whether the job's zone rules allow this many additional tasks in the zone. Every attempt that is not proven to have
+     * ended counts as placed.
+     */
+    public boolean zoneRulesAllow(String zone, int additionalTasks) {
         if (spec.oneZone()) {
-            for (Placement p : placements.values()) {
-                if (!p.zone.equals(zone)) {
+            for (Placement placement : placements.values()) {
+                if (!placement.zone.equals(zone)) {
                     return false;
                 }
             }
         }
-        return !spec.spreadAcrossZones() || placedTasksIn(zone) + more <= spec.maxTasksPerZone();
+        return !spec.spreadAcrossZones() || placedTasksIn(zone) + additionalTasks <= spec.maxTasksPerZone();
     }
 }
--- a/src/main/java/org/mountlug/core/model/JobSpec.java
+++ b/src/main/java/org/mountlug/core/model/JobSpec.java
@@ -3,7 +3,23 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What a user asked for; never changes after submission. {@code types} and {@code zone} are null for any. */
+/**
+ * The specification of a job as submitted by a user; it never changes after the submission.
+ *
+ * @param tasks number of tasks
+ * @param request what each task needs on its machine
+ * @param machineTypes names of the machine types that the tasks may run on, null for any
+ * @param zone the only zone that the tasks may run in, null for any
+ * @param oneZone whether all tasks must run in the same zone
+ * @param spreadAcrossZones whether at most half of the tasks, rounded up, may run in the same zone
+ * @param spotAllowed whether the tasks may run on spot machines
+ * @param imageGb size of the image in gigabytes
+ * @param expectedRunS the user's estimate of a task's run time, in seconds
+ * @param checkpointIntervalS seconds between two checkpoints of a task, 0 if it saves none
+ * @param checkpointSaveS seconds that saving a checkpoint takes
+ * @param deadlineS seconds after the submission by which the job should be done, {@code NaN} without a deadline
+ * @param submittedMs epoch time of the submission, in milliseconds
+ */
 public record JobSpec(
         String id,
         String jobClass,
@@ -25,28 +41,28 @@
         double deadlineS,
         long submittedMs) {
 
-    /** Whether all tasks run at the same time or none does. */
+    /** Whether the job is a gang: either all of its tasks run at the same time or none does. */
     public boolean isGang() {
         return jobType == JobType.GANG;
     }
 
-    /** Whether its tasks never complete: nothing may count on one of them ending. */
+    /** Whether the job is a service: its tasks never complete, so no capacity may be expected from their end. */
     public boolean isService() {
         return jobType == JobType.SERVICE;
     }
 
-    /** What all tasks take together. */
+    /** Returns the sum of the resource requests of all tasks. */
     public Resources totalRequest() {
         return new Resources(request.cpus() * tasks, request.gpus() * tasks, request.ramGb() * tasks);
     }
 
-    /** The same job, with only those allowed types that exist: of the others no machine can be had. */
-    public JobSpec withKnownMachineTypes(Collection<String> known) {
+    /** Returns this specification without the machine types that the cloud does not offer. */
+    public JobSpec withKnownMachineTypes(Collection<String> knownTypes) {
         if (machineTypes == null) {
             return this;
         }
-        List<String> l =
-                machineTypes.stream().filter(known::contains).distinct().toList();
+        List<String> existingTypes =
+                machineTypes.stream().filter(knownTypes::contains).distinct().toList();
         return new JobSpec(
                 id,
                 jobClass,
@@ -55,7 +71,7 @@
                 priority,
                 tasks,
                 request,
-                l,
+                existingTypes,
                 zone,
                 oneZone,
                 spreadAcrossZones,
@@ -69,30 +85,30 @@
                 submittedMs);
     }
 
-    /** Whether one task may ever run on this type of machine. */
-    public boolean canEverRunOn(MachineType t) {
-        if (machineTypes != null && !machineTypes.contains(t.name())) {
+    /** Whether a task may run on an empty machine of this type in some zone. */
+    public boolean canEverRunOn(MachineType type) {
+        if (machineTypes != null && !machineTypes.contains(type.name())) {
             return false;
         }
-        if (zone != null && !t.zones().contains(zone)) {
+        if (zone != null && !type.zones().contains(zone)) {
             return false;
         }
-        return request.fitsIn(t.capacity());
+        return request.fitsIn(type.capacity());
     }
 
-    /** Whether a task may start on this machine, its type, zone and kind considered; room is another question. */
+    /** Whether the specification allows a machine of this type, zone and market; free capacity is not checked. */
     public boolean allows(String type, String inZone, boolean isSpot) {
         return (machineTypes == null || machineTypes.contains(type))
                 && (zone == null || zone.equals(inZone))
                 && (spotAllowed || !isSpot);
     }
 
-    /** The most tasks that may be in one zone at the same time. */
+    /** Returns the maximum number of tasks that may be in one zone at the same time. */
     public int maxTasksPerZone() {
         return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
     }
 
-    /** The name of a task on the wire. */
+    /** Returns the name of a task in messages, such as {@code wk-000001/0}. */
     public String taskName(int task) {
         return id + "/" + task;
     }
--- a/src/main/java/org/mountlug/core/model/JobType.java
+++ b/src/main/java/org/mountlug/core/model/JobType.java
@@ -1,8 +1,8 @@
 package org.mountlug.core.model;
 
 /**
- * What the tasks of a job have to do with each other and with time: of an array each runs to its end, of a gang all run
- * at the same time or none does, and those of a service (its replicas) run until their user calls them off.
+ * How the tasks of a job run: each task of an array runs to its end by itself, the tasks of a gang run all at the same
+ * time or not at all, and the tasks of a service (its replicas) run until a user cancels the job.
  */
 public enum JobType {
     ARRAY,
--- a/src/main/java/org/mountlug/core/model/MachineType.java
+++ b/src/main/java/org/mountlug/core/model/MachineType.java
@@ -2,7 +2,14 @@
 
 import java.util.List;
 
-/** An entry of the cloud's catalogue. */
+/**
+ * A machine type that the cloud offers, with its current prices.
+ *
+ * @param imageCacheGb size of the image cache of a machine, in gigabytes
+ * @param fetchGbPerS rate at which a machine fetches images, in gigabytes a second
+ * @param bootS nominal boot time in seconds
+ * @param zones names of the zones that offer the type
+ */
 public record MachineType(
         String name,
         Resources capacity,
@@ -12,7 +19,7 @@
         double spotPricePerHour,
         double bootS,
         List<String> zones) {
-    /** The current price an hour, of a spot machine or an ordinary one. */
+    /** Returns the current price per hour of a spot machine or of an on-demand machine. */
     public double pricePerHour(boolean spot) {
         return spot ? spotPricePerHour : onDemandPricePerHour;
     }
--- a/src/main/java/org/mountlug/core/model/Objectives.java
+++ b/src/main/java/org/mountlug/core/model/Objectives.java
@@ -3,77 +3,87 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is expected of each class, turned into one time by which a job should be done. */
+/** The objectives of each job class, from which the due time of a job and its order key follow. */
 public final class Objectives {
-    /** Seconds from submission allowed to a job of a class without aims. */
-    private static final double UNSTATED_S = 300;
+    /** Seconds from its submission in which a job should be done if it has neither an objective nor a deadline. */
+    private static final double DEFAULT_COMPLETION_S = 300;
 
-    /** Seconds from submission within which a service should run whose class has no aim. */
-    private static final double SERVICE_S = 8;
-    /** Multiple of the time allowed up to which a late job is still worth more than a hopeless one. */
-    private static final double LATE_FACTOR = 1.5;
-    /** More seconds than any two due times differ by. */
-    private static final double TIER = 1e7;
+    /** Seconds from its submission in which a service should run if its class has no start objective. */
+    private static final double DEFAULT_SERVICE_START_S = 8;
+    /** Multiple of its allowed time up to which a late job goes ahead of jobs that are even later. */
+    private static final double MAX_LATENESS_FACTOR = 1.5;
+    /** Seconds added to the order key of late jobs; more than any two due times differ by. */
+    private static final double TIER_OFFSET_S = 1e7;
 
-    private final Map<String, Double> wait = new HashMap<>();
-    private final Map<String, Double> finished = new HashMap<>();
+    private final Map<String, Double> startWithinSByClass = new HashMap<>();
+    private final Map<String, Double> completeWithinSByClass = new HashMap<>();
 
-    /** Tells within how many seconds tasks of a class should start. */
+    /** Adds an objective for the seconds in which tasks of a class should start; the strictest one counts. */
     public void addStartObjective(String jobClass, double withinS) {
-        wait.merge(jobClass, withinS, Math::min);
+        startWithinSByClass.merge(jobClass, withinS, Math::min);
     }
 
-    /** Tells within how many seconds jobs of a class should be done. */
+    /** Adds an objective for the seconds in which jobs of a class should be done; the strictest one counts. */
     public void addCompletionObjective(String jobClass, double withinS) {
-        finished.merge(jobClass, withinS, Math::min);
+        completeWithinSByClass.merge(jobClass, withinS, Math::min);
     }
 
-    /** Seconds after submission by which the job should be done, given how long a task should take. */
-    public double dueWithinS(JobSpec s, double expectedS) {
-        if (s.isService()) {
-            return wait.getOrDefault(s.jobClass(), SERVICE_S);
+    /**
+     * Returns the seconds after its submission by which the job should be done, or by which a service should run.
+     *
+     * @param expectedRunS expected run time of a task in seconds
+     */
+    public double dueWithinS(JobSpec spec, double expectedRunS) {
+        if (spec.isService()) {
+            return startWithinSByClass.getOrDefault(spec.jobClass(), DEFAULT_SERVICE_START_S);
         }
-        double due = Double.MAX_VALUE;
-        if (!Double.isNaN(s.deadlineS())) {
-            due = s.deadlineS();
+        double dueS = Double.MAX_VALUE;
+        if (!Double.isNaN(spec.deadlineS())) {
+            dueS = spec.deadlineS();
         }
-        Double f = finished.get(s.jobClass());
-        if (f != null) {
-            due = Math.min(due, f);
+        Double completeWithinS = completeWithinSByClass.get(spec.jobClass());
+        if (completeWithinS != null) {
+            dueS = Math.min(dueS, completeWithinS);
         }
-        Double w = wait.get(s.jobClass());
-        if (w != null) {
-            due = Math.min(due, w + expectedS);
+        Double startWithinS = startWithinSByClass.get(spec.jobClass());
+        if (startWithinS != null) {
+            dueS = Math.min(dueS, startWithinS + expectedRunS);
         }
-        return due == Double.MAX_VALUE ? UNSTATED_S : due;
+        return dueS == Double.MAX_VALUE ? DEFAULT_COMPLETION_S : dueS;
     }
 
-    /** Epoch seconds by which the job should be done. */
-    public double dueEpochS(JobSpec s, double expectedS) {
-        return s.submittedMs() / 1000.0 + dueWithinS(s, expectedS);
+    /** Returns the epoch time in seconds by which the job should be done, or by which a service should run. */
+    public double dueEpochS(JobSpec spec, double expectedRunS) {
+        return spec.submittedMs() / 1000.0 + dueWithinS(spec, expectedRunS);
     }
 
     /**
-     * The order in which jobs of one queue are served: by when they are due, but those that can no longer be in time
-     * after those that can, and the hopeless last. By due time alone, one overload makes every later job late too.
+     * Returns the key by which the jobs of a queue are sorted, smallest first. Jobs that can still be in time come first,
+     * then those that would exceed their allowed time by at most half, then all others; each group is sorted by due time.
+     * Sorted by due time alone, one overload would make every later job late too.
      */
-    public double orderKey(JobSpec s, int pendingTasks, double expectedS, double nowEpochS) {
-        double within = dueWithinS(s, expectedS);
-        double at = s.submittedMs() / 1000.0;
-        if (s.isService()) {
-            return at + within; // a late one is missed no less
+    public double orderKey(JobSpec spec, int pendingTasks, double expectedRunS, double nowEpochS) {
+        double dueWithinS = dueWithinS(spec, expectedRunS);
+        double submittedEpochS = spec.submittedMs() / 1000.0;
+        if (spec.isService()) {
+            return submittedEpochS + dueWithinS; // users miss a late service as much as one in time
         }
-        double end = nowEpochS + expectedS;
-        // What is half done keeps its turn for longer: dropping it would waste the half.
-        boolean invested = pendingTasks * 2 <= s.tasks() && end <= at + within * LATE_FACTOR;
-        if (end <= at + within || invested) {
-            return at + within;
+        double expectedEndEpochS = nowEpochS + expectedRunS;
+        // A job with at least half of its tasks placed or done keeps its position for longer, or that work is wasted.
+        boolean isHalfStarted = pendingTasks * 2 <= spec.tasks()
+                && expectedEndEpochS <= submittedEpochS + dueWithinS * MAX_LATENESS_FACTOR;
+        if (expectedEndEpochS <= submittedEpochS + dueWithinS || isHalfStarted) {
+            return submittedEpochS + dueWithinS;
         }
-        return at + within + (end <= at + within * LATE_FACTOR ? TIER : 2 * TIER);
+        return submittedEpochS
+                + dueWithinS
+                + (expectedEndEpochS <= submittedEpochS + dueWithinS * MAX_LATENESS_FACTOR
+                        ? TIER_OFFSET_S
+                        : 2 * TIER_OFFSET_S);
     }
 
-    /** Seconds within which a class's tasks should start, or NaN. */
+    /** Returns the seconds in which tasks of the class should start, {@code NaN} if it has no such objective. */
     public double startWithinS(String jobClass) {
-        return wait.getOrDefault(jobClass, Double.NaN);
+        return startWithinSByClass.getOrDefault(jobClass, Double.NaN);
     }
 }
--- a/src/main/java/org/mountlug/core/model/Placement.java
+++ b/src/main/java/org/mountlug/core/model/Placement.java
@@ -1,8 +1,9 @@
 package org.mountlug.core.model;
 
 /**
- * One attempt of a task on a machine. It holds its place, its zone and its team's quota from the moment it is decided
- * until it is proven gone; whether a start command may leave depends on {@link Job#isDurable}.
+ * One attempt of a task on a machine. It counts against the machine's capacity, the zone rules and the team's limit from
+ * the decision to place it until the attempt is proven to have ended. Its start command may be sent only once
+ * {@link Job#isDurable} is true for it.
  */
 public final class Placement {
     public final Job job;
@@ -10,42 +11,46 @@
     public final long attempt;
     public final String machine;
     public final String zone;
-    /** The worker's session that the start was meant for: a later one proves the attempt gone. */
+    /** The worker session that the start is meant for; a report of a later session proves that the attempt has ended. */
     public final long session;
-    /** Version of the job's record that first holds this placement. */
+    /** Version of the job that first contains this placement; 0 if an earlier leader decided it. */
     public final long version;
-    /** Steady seconds at which it was decided. */
+    /** Monotonic time in seconds at which the placement was decided. */
     public final double placedAtS;
 
-    /** Sequence of the report whose answer carried the start, or -1 while none did. */
+    /** Sequence number of the report whose response carried the start command, -1 if none did. */
     public long startReportSequence = -1;
     /**
-     * Whether its start was sent directly to the worker and no answer tells what became of it: it may yet take effect
-     * for as long as the worker's session lasts, so no report of that session proves that it is not there.
+     * Whether the start command was sent directly to the worker and neither acknowledged nor refused. It may still take
+     * effect as long as the worker's session lasts, so no report of that session proves that the attempt does not run.
      */
     public boolean startUnconfirmed;
-    /** Steady seconds at which its start was sent directly to the worker, NaN if it was not. */
+    /** Monotonic time in seconds at which the start was sent directly to the worker, {@code NaN} if it was not. */
     public double directStartSentS = Double.NaN;
-    /** Whether its stop was sent directly to the worker. */
+    /** Whether the stop was sent directly to the worker. */
     public boolean directStopSent;
-    /** How many reports lacked it after its start had left. */
+    /** Number of times that a report lacked the attempt after a response to an earlier report had carried its start. */
     public int ignoredStarts;
-    /** Whether it waits for another task to end: it is durable but takes no room, and its start waits for the room. */
+    /**
+     * Whether the placement waits for another task on the machine to end. It does not count against the machine's
+     * capacity, and its start is sent once the capacity is free.
+     */
     public boolean standby;
-    /** Whether a report showed the attempt. */
+    /** Whether the worker has confirmed the attempt, in a report or in the response to a direct command. */
     public boolean reported;
 
     public AttemptState state;
-    /** Steady seconds when first reported running, or NaN. */
+    /** Monotonic time in seconds at which the attempt was first reported as running, {@code NaN} if it was not. */
     public double runningSinceS = Double.NaN;
-    /** Whether it is to stop, and with how many seconds to save. */
+    /** Whether the attempt must stop. */
     public boolean stopping;
-    /** Whether it is a replica whose machine is about to go, and needs another. */
+    /** Whether the attempt is a replica that needs another machine because its own is about to be lost. */
     public boolean relocating;
 
+    /** Seconds to save its state that the attempt has from the stop command on. */
     public double gracePeriodS;
 
-    /** An attempt that stands in the job as of {@code version} and has not been started. */
+    /** Creates an attempt that the job contains as of {@code version} and that has not been started. */
     public Placement(
             Job job,
             int task,
@@ -65,7 +70,7 @@
         this.placedAtS = placedAtS;
     }
 
-    /** Decides that it must stop, with so many seconds to save; a stop is never taken back. */
+    /** Requests a stop with this grace period in seconds; of several the shortest counts, and a stop cannot be undone. */
     public void requestStop(double newGracePeriodS) {
         if (!stopping || newGracePeriodS < gracePeriodS) {
             gracePeriodS = newGracePeriodS;
@@ -73,7 +78,7 @@
         stopping = true;
     }
 
-    /** The name of its task on the wire. */
+    /** Returns the name of the task in messages, such as {@code wk-000001/0}. */
     public String taskName() {
         return job.spec.taskName(task);
     }
--- a/src/main/java/org/mountlug/core/model/Priority.java
+++ b/src/main/java/org/mountlug/core/model/Priority.java
@@ -1,6 +1,6 @@
 package org.mountlug.core.model;
 
-/** Priority of a job, lowest first: only a strictly higher one may stop another's tasks. */
+/** Priority of a job, lowest first; a job may preempt only tasks of jobs with a strictly lower priority. */
 public enum Priority {
     IDLE,
     STANDARD,
--- a/src/main/java/org/mountlug/core/model/Report.java
+++ b/src/main/java/org/mountlug/core/model/Report.java
@@ -2,7 +2,17 @@
 
 import java.util.List;
 
-/** A worker's report; of two, the one with the larger (session, sequence) is newer. */
+/**
+ * A worker's report; of two reports of a machine, the one with the larger (session, sequence) is newer.
+ *
+ * @param machine name of the machine
+ * @param address address at which the worker accepts direct commands
+ * @param machineType name of the machine type
+ * @param spot whether the machine is a spot machine
+ * @param session number of the worker process's session
+ * @param token highest fencing token that the worker has seen
+ * @param reclaimInS seconds until the cloud reclaims the machine, {@code NaN} while no reclaim is announced
+ */
 public record Report(
         String machine,
         String address,
@@ -14,11 +24,16 @@
         long token,
         double reclaimInS,
         List<AttemptStatus> attempts) {
-    /** One attempt on the machine. */
+    /**
+     * The state of one attempt on the machine.
+     *
+     * @param job the id of the job
+     * @param saved whether the task saved its state before it exited
+     */
     public record AttemptStatus(
             String job, int task, long attempt, AttemptState state, ExitCause cause, boolean saved) {}
 
-    /** Whether it was made after the report of this session and sequence. */
+    /** Whether this report was made after the report with the given session and sequence. */
     public boolean isNewerThan(long otherSession, long otherSequence) {
         return session > otherSession || session == otherSession && sequence > otherSequence;
     }
--- a/src/main/java/org/mountlug/core/model/Reservation.java
+++ b/src/main/java/org/mountlug/core/model/Reservation.java
@@ -1,4 +1,4 @@
 package org.mountlug.core.model;
 
-/** Room that a gang task keeps on the machine it is nominated for. */
+/** A gang task's claim on capacity of a machine, which keeps other tasks from taking it. */
 public record Reservation(int task, String machine) {}
--- a/src/main/java/org/mountlug/core/model/Resources.java
+++ b/src/main/java/org/mountlug/core/model/Resources.java
@@ -1,57 +1,59 @@
 package org.mountlug.core.model;
 
-/** What a task takes of a machine, or a machine offers. Amounts are decimal, so comparisons allow for rounding. */
+/** Amounts of resources that a task requests or a machine offers; comparisons tolerate rounding errors. */
 public record Resources(double cpus, double gpus, double ramGb) {
     public static final Resources ZERO = new Resources(0, 0, 0);
-    private static final double EPS = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    /** The sum of both. */
-    public Resources plus(Resources o) {
-        return new Resources(cpus + o.cpus, gpus + o.gpus, ramGb + o.ramGb);
+    /** Returns the sum of both. */
+    public Resources plus(Resources other) {
+        return new Resources(cpus + other.cpus, gpus + other.gpus, ramGb + other.ramGb);
     }
 
-    /** What is left after the other is taken away; may be negative. */
-    public Resources minus(Resources o) {
-        return new Resources(cpus - o.cpus, gpus - o.gpus, ramGb - o.ramGb);
+    /** Returns the difference of both, whose amounts may be negative. */
+    public Resources minus(Resources other) {
+        return new Resources(cpus - other.cpus, gpus - other.gpus, ramGb - other.ramGb);
     }
 
-    /** Whether this much fits into {@code room}. */
+    /** Whether these resources fit into {@code capacity}. */
     public boolean fitsIn(Resources capacity) {
-        return cpus <= capacity.cpus + EPS && gpus <= capacity.gpus + EPS && ramGb <= capacity.ramGb + EPS;
+        return cpus <= capacity.cpus + ROUNDING_TOLERANCE
+                && gpus <= capacity.gpus + ROUNDING_TOLERANCE
+                && ramGb <= capacity.ramGb + ROUNDING_TOLERANCE;
     }
 
-    /** How many of this fit into {@code room} side by side. */
+    /** Returns how many times these resources fit into {@code capacity}; a very large number if they are all zero. */
     public int countIn(Resources capacity) {
-        double n = Integer.MAX_VALUE;
+        double count = Integer.MAX_VALUE;
         if (cpus > 0) {
-            n = Math.min(n, (capacity.cpus + EPS) / cpus);
+            count = Math.min(count, (capacity.cpus + ROUNDING_TOLERANCE) / cpus);
         }
         if (gpus > 0) {
-            n = Math.min(n, (capacity.gpus + EPS) / gpus);
+            count = Math.min(count, (capacity.gpus + ROUNDING_TOLERANCE) / gpus);
         }
         if (ramGb > 0) {
-            n = Math.min(n, (capacity.ramGb + EPS) / ramGb);
+            count = Math.min(count, (capacity.ramGb + ROUNDING_TOLERANCE) / ramGb);
         }
-        return (int) Math.max(0, Math.floor(n));
+        return (int) Math.max(0, Math.floor(count));
     }
 
-    /** The largest share of any one resource that this takes of {@code whole}. */
+    /** Returns the dominant share: the largest of the shares of {@code total} over the resource types. */
     public double dominantShareOf(Resources total) {
-        double s = 0;
+        double share = 0;
         if (total.cpus > 0) {
-            s = Math.max(s, cpus / total.cpus);
+            share = Math.max(share, cpus / total.cpus);
         }
         if (total.gpus > 0) {
-            s = Math.max(s, gpus / total.gpus);
+            share = Math.max(share, gpus / total.gpus);
         }
         if (total.ramGb > 0) {
-            s = Math.max(s, ramGb / total.ramGb);
+            share = Math.max(share, ramGb / total.ramGb);
         }
-        return s;
+        return share;
     }
 
-    /** Whether there is nothing of any kind. */
+    /** Whether all amounts are zero or negative. */
     public boolean isZero() {
-        return cpus <= EPS && gpus <= EPS && ramGb <= EPS;
+        return cpus <= ROUNDING_TOLERANCE && gpus <= ROUNDING_TOLERANCE && ramGb <= ROUNDING_TOLERANCE;
     }
 }
--- a/src/main/java/org/mountlug/core/model/Team.java
+++ b/src/main/java/org/mountlug/core/model/Team.java
@@ -1,17 +1,21 @@
 package org.mountlug.core.model;
 
-/** A team's guarantee and limit; 0 means none, and {@code weight} is its share when more is asked than can be done. */
+/**
+ * A team with its guaranteed and maximum resources, where 0 stands for no guarantee and for no limit.
+ *
+ * @param weight the weight of the team's queue while demand exceeds capacity
+ */
 public record Team(
         String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus, double weight) {
-    /** Whether {@code used} keeps to the team's limit. */
-    public boolean isWithinLimit(Resources used) {
-        return (maxCpus <= 0 || used.cpus() <= maxCpus + 1e-6) && (maxGpus <= 0 || used.gpus() <= maxGpus + 1e-6);
+    /** Whether the usage is within the team's limit. */
+    public boolean isWithinLimit(Resources usage) {
+        return (maxCpus <= 0 || usage.cpus() <= maxCpus + 1e-6) && (maxGpus <= 0 || usage.gpus() <= maxGpus + 1e-6);
     }
 
-    /** Whether {@code used} stays within what the team is guaranteed; a team without a guarantee has nothing. */
-    public boolean isWithinGuarantee(Resources used) {
+    /** Whether the usage is within the team's guarantee; never true for a team without a guarantee. */
+    public boolean isWithinGuarantee(Resources usage) {
         return (guaranteedCpus > 0 || guaranteedGpus > 0)
-                && used.cpus() <= guaranteedCpus + 1e-6
-                && used.gpus() <= guaranteedGpus + 1e-6;
+                && usage.cpus() <= guaranteedCpus + 1e-6
+                && usage.gpus() <= guaranteedGpus + 1e-6;
     }
 }
--- a/src/main/java/org/mountlug/core/model/package-info.java
+++ b/src/main/java/org/mountlug/core/model/package-info.java
@@ -1,2 +1,2 @@
-/** Jobs, tasks, machines and teams, and the messages that the core decides on. */
+/** Jobs, placements, machine types and teams, and the reports and commands exchanged with workers. */
 package org.mountlug.core.model;
