--- a/src/main/java/org/mountlug/core/cluster/AcceleratorHostDemand.java
+++ b/src/main/java/org/mountlug/core/cluster/AcceleratorHostDemand.java
@@ -7,54 +7,60 @@
 import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
 
-/** What accelerator work needs of a machine beside its accelerators, by the neediest job of each class in this term. */
+/**
+ * The CPUs and memory that accelerator tasks need on a machine beside its accelerators, computed from the job of each class
+ * in this term that requests the most CPUs.
+ */
 final class AcceleratorHostDemand {
-    private final Map<String, JobSpec> neediest = new HashMap<>();
+    private final Map<String, JobSpec> mostDemandingByClass = new HashMap<>();
 
-    /** Takes note of a job. */
+    /** Adds a job; one without accelerators is ignored. */
     void add(JobSpec spec) {
         if (spec.request().gpus() > 0) {
-            neediest.merge(
+            mostDemandingByClass.merge(
                     spec.jobClass(),
                     spec,
                     (a, b) -> a.request().cpus() >= b.request().cpus() ? a : b);
         }
     }
 
-    /** What work of any priority needs of this type when it fills it. */
+    /** Returns the demand of accelerator tasks of any priority that fill a machine of this type. */
     Resources ofAllPriorities(MachineType type) {
-        return ofPreemptingPriorities(type, null);
+        return ofPrioritiesAbove(type, null);
     }
 
     /**
-     * The same of the neediest class that may take the place of another. Where none may, what runs beside is in nobody's
-     * way.
+     * Returns the demand of accelerator tasks that fill a machine of this type and may preempt other accelerator tasks, as
+     * their priority is above the lowest one. Without such tasks the demand is zero, as CPU-only work on the machine then
+     * obstructs no task that could preempt others.
      */
     Resources ofPreemptingPriorities(MachineType type) {
-        Priority least = Priority.PROD;
-        for (JobSpec spec : neediest.values()) {
-            if (spec.priority().compareTo(least) < 0) {
-                least = spec.priority();
+        Priority lowest = Priority.PROD;
+        for (JobSpec spec : mostDemandingByClass.values()) {
+            if (spec.priority().compareTo(lowest) < 0) {
+                lowest = spec.priority();
             }
         }
-        return ofPreemptingPriorities(type, least);
+        return ofPrioritiesAbove(type, lowest);
     }
 
-    private Resources ofPreemptingPriorities(MachineType type, Priority above) {
-        Resources share = Resources.ZERO;
+    private Resources ofPrioritiesAbove(MachineType type, Priority lowest) {
+        Resources demand = Resources.ZERO;
         if (type.capacity().gpus() <= 0) {
-            return share;
+            return demand;
         }
-        for (JobSpec spec : neediest.values()) {
-            Resources need = spec.request();
-            if (!need.fitsIn(type.capacity())
-                    || above != null && spec.priority().compareTo(above) <= 0) {
+        for (JobSpec spec : mostDemandingByClass.values()) {
+            Resources request = spec.request();
+            if (!request.fitsIn(type.capacity())
+                    || lowest != null && spec.priority().compareTo(lowest) <= 0) {
                 continue;
             }
-            double count = need.countIn(type.capacity());
-            share = new Resources(
-                    Math.max(share.cpus(), need.cpus() * count), 0, Math.max(share.ramGb(), need.ramGb() * count));
+            double count = request.countIn(type.capacity());
+            demand = new Resources(
+                    Math.max(demand.cpus(), request.cpus() * count),
+                    0,
+                    Math.max(demand.ramGb(), request.ramGb() * count));
         }
-        return share;
+        return demand;
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/Cluster.java
+++ b/src/main/java/org/mountlug/core/cluster/Cluster.java
@@ -23,8 +23,9 @@
 import org.mountlug.core.scale.ListedMachine;
 
 /**
- * The leader's picture: live jobs, machines and what each may hold. A placement leaves it only with a proof that the
- * attempt is gone; see {@link #recordLostAttempt}. No I/O: reports, records and times come in, orders go out.
+ * The leader's view of the live jobs, the machines and the placements on them. A placement is removed only once it is
+ * proven that the attempt has ended; see {@link #recordLostAttempt}. The class does no I/O: its inputs are reports, records
+ * and times, its outputs are commands.
  */
 public final class Cluster {
     private final long token;
@@ -33,538 +34,597 @@
     public final Object2ObjectLinkedOpenHashMap<String, Job> jobs = new Object2ObjectLinkedOpenHashMap<>();
     public final Object2ObjectOpenHashMap<String, Machine> machines = new Object2ObjectOpenHashMap<>();
     public final Map<String, List<Reservation>> reservations = new LinkedHashMap<>();
-    private final Map<String, MachineType> types = new LinkedHashMap<>();
-    /** Machines that are proven gone; the lagging list still shows them for a while. */
-    private final Map<String, Double> departed = new LinkedHashMap<>() {
+    private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+    /** By name of a machine that is proven gone, the time; the cloud's machine list lags and still shows it for a while. */
+    private final Map<String, Double> departedAtS = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Double> e) {
-            // The list may show any of them for a while, and all machines may go at once.
+        protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
+            // All machines may go at once, and the machine list may still show any of them for a while.
             return size() > Math.max(Constants.MIN_REMEMBERED_DEPARTED_MACHINES, 2 * machines.size());
         }
     };
-    /** Revisions at which jobs were moved to the finished ones, so that a late watch does not bring them back. */
-    private final Map<String, Long> finished = new LinkedHashMap<>() {
+    /** By id of a finished job, the revision of its end, so that a delayed watch does not load the job again. */
+    private final Map<String, Long> finishedRevisions = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Long> e) {
+        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
             return size() > Math.max(Constants.MIN_REMEMBERED_FINISHED_JOBS, 2 * jobs.size());
         }
     };
 
-    private final ReportHandler reports;
-    private final CommandHandler commands;
-    private final RunTimeStatistics outcomes = new RunTimeStatistics();
-    private final FailureAttribution blame = new FailureAttribution(name -> machines.get(name), this::addEvent);
-    /** Machines that were condemned and are still there, as of the last round. */
-    private int condemned;
-
-    private final AcceleratorHostDemand acceleratorNeeds = new AcceleratorHostDemand();
-    private final RecordCapacity recordRoom = new RecordCapacity();
-    private final Map<String, List<String>> expected = new HashMap<>();
+    private final ReportHandler reportHandler;
+    private final CommandHandler commandHandler;
+    private final RunTimeStatistics runTimes = new RunTimeStatistics();
+    private final FailureAttribution failureAttribution =
+            new FailureAttribution(name -> machines.get(name), this::addEvent);
+    /** Number of quarantined machines as of the last call of {@link #expireLeases}. */
+    private int quarantinedCount;
+
+    private final AcceleratorHostDemand acceleratorDemand = new AcceleratorHostDemand();
+    private final RecordCapacity recordCapacity = new RecordCapacity();
+    private final Map<String, List<String>> expectedImages = new HashMap<>();
     private EventSummary events = new EventSummary();
     private final StartCounts startCounts = new StartCounts();
     private long lostTasks;
     private long failedTasks;
-    /** Jobs without accelerators that the cheap machines cannot serve in time, and may use whole accelerator machines. */
+    /** Ids of CPU-only jobs that CPU machines cannot serve in time, and that may use whole accelerator machines. */
     public final Set<String> overflowJobs = new HashSet<>();
 
-    /** Whether room came free, since it was last asked, while some gang waits for room that it has reserved. */
-    private boolean takeCapacityFreed;
-    /** Whether a service waited for room in the last round. */
+    /** Whether capacity that some work waits for has become free since {@link #takeCapacityFreed} was last called. */
+    private boolean capacityFreed;
+    /** Whether a service waited for capacity in the last round. */
     public boolean serviceWaiting;
 
-    /** Whether room came free for somebody who waits for it, since the last call. */
+    /** Whether capacity that some work waits for has become free since the last call. */
     public boolean takeCapacityFreed() {
-        boolean f = takeCapacityFreed;
-        takeCapacityFreed = false;
-        return f;
+        boolean freed = capacityFreed;
+        capacityFreed = false;
+        return freed;
     }
 
-    /** An empty picture for the term with this fencing token. */
+    /**
+     * Creates an empty view for the term with this fencing token.
+     *
+     * @param leaseS length of the worker lease in seconds
+     */
     public Cluster(long token, double leaseS, Collection<Team> teams) {
         this.token = token;
         this.leaseS = leaseS;
-        this.reports = new ReportHandler(this, leaseS);
-        this.commands = new CommandHandler(this, reports);
-        for (Team t : teams) {
-            this.teams.put(t.name(), t);
+        this.reportHandler = new ReportHandler(this, leaseS);
+        this.commandHandler = new CommandHandler(this, reportHandler);
+        for (Team team : teams) {
+            this.teams.put(team.name(), team);
         }
     }
 
-    /** Steady seconds since which we hear at all: a silence before is ours, not the machines'. */
+    /** Monotonic time in seconds since which this process can receive reports; earlier silence is not the machines'. */
     private double listeningSinceS = Double.NEGATIVE_INFINITY;
 
-    /** This process stood still until now. */
+    /** Counts silence from now on, as no report could arrive before: the term begins or a process pause has ended. */
     public void restartListening(double nowS) {
         listeningSinceS = nowS;
     }
 
-    /** Whether the machine was heard of since we could hear. */
-    public boolean hasReportedSinceListening(Machine m) {
-        return m.lastReportS >= listeningSinceS;
+    /** Whether the machine has reported since this process can receive reports. */
+    public boolean hasReportedSinceListening(Machine machine) {
+        return machine.lastReportS >= listeningSinceS;
     }
 
-    /** How starts went in each zone since this term began. */
+    /** Returns how many starts have succeeded and were lost in each zone since this term began. */
     public StartCounts startCounts() {
         return startCounts;
     }
 
-    /** Seconds since the machine was last heard of, or since we could have heard it. */
-    public double silentS(Machine m, double nowS) {
-        return nowS - Math.max(m.lastReportS, listeningSinceS);
+    /** Returns the seconds since the machine's last report, or since this process can receive reports if that is less. */
+    public double silentS(Machine machine, double nowS) {
+        return nowS - Math.max(machine.lastReportS, listeningSinceS);
     }
 
-    /** Seconds since which it has not been both synced and hearing, as far as we could tell; NaN while it is. */
-    public double outOfContactS(Machine m, double nowS) {
-        return nowS - Math.max(m.outOfContactSinceS, listeningSinceS);
+    /**
+     * Returns the seconds for which the machine has been out of contact, counted at most since this process can receive
+     * reports; {@code NaN} while the machine is in contact.
+     */
+    public double outOfContactS(Machine machine, double nowS) {
+        return nowS - Math.max(machine.outOfContactSinceS, listeningSinceS);
     }
 
-    /** Seconds since we could have heard of a machine's coming up. */
+    /** Returns the seconds for which this process has been able to receive reports. */
     public double listeningForS(double nowS) {
         return nowS - listeningSinceS;
     }
 
-    /** Tells how many KiB a record may have while no parts may be written. */
-    public void setValueLimitKib(double kib) {
-        recordRoom.setValueLimitKib(kib);
+    /** Sets the maximum size of a job record in KiB, which applies while no record parts may be written. */
+    public void setValueLimitKib(double limitKib) {
+        recordCapacity.setValueLimitKib(limitKib);
     }
 
-    /** From now on what does not fit into a record goes into parts, so that records hold nobody back. */
+    /** Allows record parts, so that the size of a record no longer limits how many tasks of a job may be placed. */
     public void allowRecordParts() {
-        recordRoom.allowParts();
+        recordCapacity.allowParts();
     }
 
-    /** Characters of the longest name of a machine. */
+    /** Returns the number of characters of the longest machine name, at least the assumed length of a new name. */
     public int maxMachineNameLength() {
-        int longest = Constants.ASSUMED_MACHINE_NAME_CHARS;
-        for (Machine m : machines.values()) {
-            longest = Math.max(longest, m.name.length());
+        int maxLength = Constants.ASSUMED_MACHINE_NAME_CHARS;
+        for (Machine machine : machines.values()) {
+            maxLength = Math.max(maxLength, machine.name.length());
         }
-        return longest;
+        return maxLength;
     }
 
-    /** How many more tasks of a job may be placed so that its record surely stays within the value limit. */
-    public int remainingRecordTasks(Job j) {
-        return recordRoom.remainingTasks(j);
+    /** Returns how many more tasks of a job may be placed such that its record stays within the value limit. */
+    public int remainingRecordTasks(Job job) {
+        return recordCapacity.remainingTasks(job);
     }
 
-    /** The fencing token of this term. */
+    /** Returns the fencing token of this term. */
     public long token() {
         return token;
     }
 
-    /** The teams that the settings name. */
+    /** Returns the teams that the settings name. */
     public Collection<Team> teams() {
         return teams.values();
     }
 
-    /** The team of this name, or null. */
+    /** Returns the team of this name, or null. */
     public Team team(String name) {
         return teams.get(name);
     }
 
-    /** The machine types that are known. */
+    /** Returns the machine types that the cloud offers. */
     public Collection<MachineType> types() {
-        return types.values();
+        return machineTypes.values();
     }
 
-    /** What is worth a line in the log since the last call. */
+    /** Returns the events since the last call, for the log. */
     public EventSummary takeEvents() {
-        EventSummary taken = events;
+        EventSummary takenEvents = events;
         events = new EventSummary();
-        return taken;
+        return takenEvents;
     }
 
-    /** Leaves an event for the log, with its subject: a task, a machine or a job. */
+    /** Adds an event for the log, with its subject: a task, a machine or a job. */
     public void addEvent(String kind, String subject) {
         events.add(kind, subject);
     }
 
-    /** How jobs and machines stand. */
+    /** Returns the counts of jobs and machines by state. */
     public FleetStatus status(double nowS) {
         int suspected = 0;
-        for (Job j : jobs.values()) {
-            suspected += j.failureHistory.isSuspected() ? 1 : 0;
+        for (Job job : jobs.values()) {
+            suspected += job.failureHistory.isSuspected() ? 1 : 0;
         }
         int booting = 0;
         int silent = 0;
         int quarantined = 0;
-        for (Machine m : machines.values()) {
-            booting += m.hasBooted() || !m.placements.isEmpty() ? 0 : 1;
-            silent += m.hasReported && silentS(m, nowS) > leaseS ? 1 : 0;
-            quarantined += m.quarantined ? 1 : 0;
+        for (Machine machine : machines.values()) {
+            booting += machine.hasBooted() || !machine.placements.isEmpty() ? 0 : 1;
+            silent += machine.hasReported && silentS(machine, nowS) > leaseS ? 1 : 0;
+            quarantined += machine.quarantined ? 1 : 0;
         }
         return new FleetStatus(
                 jobs.size(), suspected, machines.size(), booting, silent, quarantined, lostTasks, failedTasks);
     }
 
-    /** Takes in the machine types with their current prices. */
-    public void setMachineTypes(Collection<MachineType> machineTypes) {
-        for (MachineType t : machineTypes) {
-            types.put(t.name(), t);
-            for (Machine m : machines.values()) {
-                if (m.type != null && m.type.name().equals(t.name())) {
-                    m.type = t;
+    /** Updates the machine types and their current prices, also on the machines. */
+    public void setMachineTypes(Collection<MachineType> currentTypes) {
+        for (MachineType type : currentTypes) {
+            machineTypes.put(type.name(), type);
+            for (Machine machine : machines.values()) {
+                if (machine.type != null && machine.type.name().equals(type.name())) {
+                    machine.type = type;
                 }
             }
         }
     }
 
-    /** The machine type of this name, or null. */
+    /** Returns the machine type of this name, or null. */
     public MachineType type(String name) {
-        return types.get(name);
+        return machineTypes.get(name);
     }
 
-    /** Everything of a team that is not proven gone, strays included. */
+    /** Returns the resources that each team's attempts hold, orphans included, until they are proven to have ended. */
     public Map<String, Resources> usageByTeam() {
-        Map<String, Resources> u = new HashMap<>();
-        for (Job j : jobs.values()) {
-            if (!j.placements.isEmpty()) {
-                Resources n = j.spec.request();
-                int k = j.placements.size();
-                u.merge(j.spec.team(), new Resources(n.cpus() * k, n.gpus() * k, n.ramGb() * k), Resources::plus);
+        Map<String, Resources> usage = new HashMap<>();
+        for (Job job : jobs.values()) {
+            if (!job.placements.isEmpty()) {
+                Resources request = job.spec.request();
+                int placedTasks = job.placements.size();
+                usage.merge(
+                        job.spec.team(),
+                        new Resources(
+                                request.cpus() * placedTasks,
+                                request.gpus() * placedTasks,
+                                request.ramGb() * placedTasks),
+                        Resources::plus);
             }
         }
-        for (Machine m : machines.values()) {
-            for (Report.AttemptStatus i : m.orphans.values()) {
-                Job j = jobs.get(i.job());
-                if (j != null) {
-                    u.merge(j.spec.team(), j.spec.request(), Resources::plus);
+        for (Machine machine : machines.values()) {
+            for (Report.AttemptStatus orphan : machine.orphans.values()) {
+                Job job = jobs.get(orphan.job());
+                if (job != null) {
+                    usage.merge(job.spec.team(), job.spec.request(), Resources::plus);
                 }
             }
         }
-        return u;
+        return usage;
     }
 
-    /** Run time to expect of a task, the owner's estimate corrected by what the class has shown. */
-    public double expectedRunS(Job j) {
-        return j.spec.isService() ? Double.POSITIVE_INFINITY : outcomes.expectedRunS(j);
+    /**
+     * Returns the expected run time of a task in seconds: the user's estimate, corrected by how long tasks of the class have
+     * run; infinite for a service.
+     */
+    public double expectedRunS(Job job) {
+        return job.spec.isService() ? Double.POSITIVE_INFINITY : runTimes.expectedRunS(job);
     }
 
-    /** What accelerator work of any priority needs of this type beside the accelerators when it fills it. */
-    public Resources acceleratorHostDemand(MachineType t) {
-        return acceleratorNeeds.ofAllPriorities(t);
+    /** Returns what accelerator tasks of any priority that fill a machine of this type need beside the accelerators. */
+    public Resources acceleratorHostDemand(MachineType type) {
+        return acceleratorDemand.ofAllPriorities(type);
     }
 
-    /** What accelerator work that may take the place of other work needs of this type when it fills it. */
-    public Resources preemptingAcceleratorHostDemand(MachineType t) {
-        return acceleratorNeeds.ofPreemptingPriorities(t);
+    /**
+     * Returns what accelerator tasks that fill a machine of this type and may preempt other accelerator tasks need beside
+     * the accelerators.
+     */
+    public Resources preemptingAcceleratorHostDemand(MachineType type) {
+        return acceleratorDemand.ofPreemptingPriorities(type);
     }
 
     // ---- records ----------------------------------------------------------------------------------------------
 
-    /** Takes in a job as the state service has it, at the start of a term or when a user submitted it. */
-    public void loadJob(Job j, double nowS) {
-        Long over = finished.get(j.spec.id());
-        if (over != null && j.revision <= over) {
+    /** Loads a job as stored in the state service, at the start of a term or after its submission. */
+    public void loadJob(Job job, double nowS) {
+        Long finishedRevision = finishedRevisions.get(job.spec.id());
+        if (finishedRevision != null && job.revision <= finishedRevision) {
             return;
         }
-        jobs.put(j.spec.id(), j);
-        blame.recordLoadedJob(j);
-        acceleratorNeeds.add(j.spec);
-        for (Placement p : j.placements.values()) {
-            Machine m = machines.get(p.machine);
-            if (m == null) {
-                m = new Machine(p.machine, nowS);
-                m.zone = p.zone;
-                machines.put(p.machine, m);
+        jobs.put(job.spec.id(), job);
+        failureAttribution.recordLoadedJob(job);
+        acceleratorDemand.add(job.spec);
+        for (Placement placement : job.placements.values()) {
+            Machine machine = machines.get(placement.machine);
+            if (machine == null) {
+                machine = new Machine(placement.machine, nowS);
+                machine.zone = placement.zone;
+                machines.put(placement.machine, machine);
             }
-            m.placements.put(p.taskName(), p);
+            machine.placements.put(placement.taskName(), placement);
         }
     }
 
-    /** A user's abort became durable: nothing that has not been sent may start, the rest must stop. */
-    public void applyCancellation(Job j, double nowS) {
-        if (!j.cancelled) {
-            addEvent("cancelled", j.spec.id());
+    /**
+     * Applies a user's cancellation that has become durable: drops the placements whose start was never sent and requests a
+     * stop of all other ones.
+     */
+    public void applyCancellation(Job job, double nowS) {
+        if (!job.cancelled) {
+            addEvent("cancelled", job.spec.id());
         }
-        j.cancelled = true;
-        reservations.remove(j.spec.id());
-        for (Placement p : new ArrayList<>(j.placements.values())) {
-            if (p.version > 0 && p.startReportSequence < 0 && !p.startUnconfirmed && !p.reported) {
-                removePlacement(p); // ours, no start ever left
+        job.cancelled = true;
+        reservations.remove(job.spec.id());
+        for (Placement placement : new ArrayList<>(job.placements.values())) {
+            if (placement.version > 0
+                    && placement.startReportSequence < 0
+                    && !placement.startUnconfirmed
+                    && !placement.reported) {
+                removePlacement(placement); // placed in this term, and no start was sent
             } else {
-                p.requestStop(0);
+                placement.requestStop(0);
             }
         }
-        if (j.isFinished()) {
-            j.markChanged(nowS, true);
+        if (job.isFinished()) {
+            job.markChanged(nowS, true);
         }
     }
 
-    /** What was decided of a job cannot be made durable: tasks that never had a start give back the room they hold. */
-    public void dropUnpersistedPlacements(Job j, double untilS) {
-        for (Placement p : new ArrayList<>(j.placements.values())) {
-            if (p.startReportSequence >= 0 || p.startUnconfirmed || p.reported || j.isDurable(p.task, p.version)) {
+    /**
+     * Drops the placements of a job that cannot be made durable and whose start was never sent, which frees their capacity.
+     *
+     * @param untilS monotonic time in seconds until which no task of the job is placed
+     */
+    public void dropUnpersistedPlacements(Job job, double untilS) {
+        for (Placement placement : new ArrayList<>(job.placements.values())) {
+            if (placement.startReportSequence >= 0
+                    || placement.startUnconfirmed
+                    || placement.reported
+                    || job.isDurable(placement.task, placement.version)) {
                 continue;
             }
-            removePlacement(p);
+            removePlacement(placement);
         }
-        j.pausedUntilS = untilS; // or others of its tasks would take the room at once
-    }
-
-    /** Whether another machine has room for this replica now. */
-    public boolean hasCapacityElsewhere(Placement p) {
-        JobSpec s = p.job.spec;
-        for (Machine m : machines.values()) {
-            if (!m.isSchedulable()
-                    || m.zoneRestricted
-                    || m.heldForGang != null
-                    || m.name.equals(p.machine)
-                    || !m.orphans.isEmpty()) {
+        job.pausedUntilS = untilS; // otherwise other tasks of the job would take the capacity at once
+    }
+
+    /** Whether another machine has free capacity for this replica now. */
+    public boolean hasCapacityElsewhere(Placement placement) {
+        JobSpec spec = placement.job.spec;
+        for (Machine machine : machines.values()) {
+            if (!machine.isSchedulable()
+                    || machine.zoneRestricted
+                    || machine.heldForGang != null
+                    || machine.name.equals(placement.machine)
+                    || !machine.orphans.isEmpty()) {
                 continue;
             }
-            if (!s.allows(m.type.name(), m.zone, m.spot)
-                    || !s.request().fitsIn(m.type.capacity().minus(m.allocated()))) {
+            if (!spec.allows(machine.type.name(), machine.zone, machine.spot)
+                    || !spec.request().fitsIn(machine.type.capacity().minus(machine.allocated()))) {
                 continue;
             }
-            // Its own place in its zone comes free with it.
-            if (m.zone.equals(p.zone) || !s.oneZone() && p.job.zoneRulesAllow(m.zone, 1)) {
+            // In its own zone the replica only changes its machine, so that the zone rules stay satisfied.
+            if (machine.zone.equals(placement.zone)
+                    || !spec.oneZone() && placement.job.zoneRulesAllow(machine.zone, 1)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The job's record moved to the finished ones at this revision. */
-    public void removeFinishedJob(Job j, long revision) {
-        finished.put(j.spec.id(), revision);
-        outcomes.removeJob(j.spec.id());
-        blame.recordFinishedJob(j);
-        jobs.remove(j.spec.id());
-        reservations.remove(j.spec.id());
-    }
-
-    /** Places a task; the start leaves only once the record that holds it is durable. */
-    public Placement place(Job j, int task, long attempt, Machine m, double nowS) {
-        j.markChanged(task, nowS, true);
-        Placement p = new Placement(j, task, attempt, m.name, m.zone, m.session, j.version, nowS);
-        j.placements.put(task, p);
-        j.everPlaced = true;
-        m.placements.put(p.taskName(), p);
-        return p;
-    }
-
-    /** Takes an attempt out of the picture of which it is certain that it runs nowhere. */
-    void removePlacement(Placement p) {
-        p.job.placements.remove(p.task);
-        Machine m = machines.get(p.machine);
-        if (m != null) {
-            m.placements.remove(p.taskName());
+    /** Removes a job whose record was replaced by a final record at this revision. */
+    public void removeFinishedJob(Job job, long revision) {
+        finishedRevisions.put(job.spec.id(), revision);
+        runTimes.removeJob(job.spec.id());
+        failureAttribution.recordFinishedJob(job);
+        jobs.remove(job.spec.id());
+        reservations.remove(job.spec.id());
+    }
+
+    /** Places a task; its start is sent only once the record that holds the placement is durable. */
+    public Placement place(Job job, int task, long attempt, Machine machine, double nowS) {
+        job.markChanged(task, nowS, true);
+        Placement placement =
+                new Placement(job, task, attempt, machine.name, machine.zone, machine.session, job.version, nowS);
+        job.placements.put(task, placement);
+        job.everPlaced = true;
+        machine.placements.put(placement.taskName(), placement);
+        return placement;
+    }
+
+    /** Removes a placement whose attempt is proven not to run anywhere. */
+    void removePlacement(Placement placement) {
+        placement.job.placements.remove(placement.task);
+        Machine machine = machines.get(placement.machine);
+        if (machine != null) {
+            machine.placements.remove(placement.taskName());
         }
     }
 
-    /** The attempt is proven gone, without a result. */
-    void recordLostAttempt(Placement p, double nowS, double retryS, String reason) {
-        removePlacement(p);
-        Job j = p.job;
-        if (Double.isNaN(p.runningSinceS) && !p.stopping) {
-            startCounts.addLost(p.zone);
+    /**
+     * Records an attempt that is proven to have ended without a result.
+     *
+     * @param retryS seconds before which the task is not retried, 0 for none
+     */
+    void recordLostAttempt(Placement placement, double nowS, double retryS, String reason) {
+        removePlacement(placement);
+        Job job = placement.job;
+        if (Double.isNaN(placement.runningSinceS) && !placement.stopping) {
+            startCounts.addLost(placement.zone);
         }
-        // A replica that is gone is missed by the second, and so is the room for one.
-        markCapacityFreed(j.spec.isService() && !j.cancelled);
+        // Users notice a lost replica within seconds, so its capacity counts as awaited.
+        markCapacityFreed(job.spec.isService() && !job.cancelled);
         if (retryS > 0) {
-            j.retryNotBeforeS.put(p.task, nowS + retryS);
+            job.retryNotBeforeS.put(placement.task, nowS + retryS);
         }
-        j.markChanged(p.task, nowS, j.cancelled);
+        job.markChanged(placement.task, nowS, job.cancelled);
         lostTasks++;
-        addEvent("lost of " + j.spec.id() + ", " + reason, p.taskName() + " try " + p.attempt + " on " + p.machine);
-        // What remains of a gang can neither go on nor be completed: a new attempt needs it out of the way.
-        if (j.spec.isGang()) {
-            for (Placement q : j.placements.values()) {
-                q.requestStop(0);
+        addEvent(
+                "lost attempts of job " + job.spec.id() + ", " + reason,
+                placement.taskName() + " attempt " + placement.attempt + " on " + placement.machine);
+        // The remaining tasks of a gang can neither continue nor complete, and must stop before a new attempt begins.
+        if (job.spec.isGang()) {
+            for (Placement remaining : job.placements.values()) {
+                remaining.requestStop(0);
             }
         }
     }
 
     // ---- workers ------------------------------------------------------------------------------------------------
 
-    /** Takes in a worker's report and says what to answer; null means the reporter knows a newer leader than us. */
-    public List<Command> handleReport(Report r, boolean mayStart, double nowS) {
-        return reports.handleReport(r, mayStart, nowS);
+    /**
+     * Applies a worker's report and returns the commands for the response; null means that the worker has seen the fencing
+     * token of a newer leader.
+     *
+     * @param mayStart whether the response may contain start commands
+     */
+    public List<Command> handleReport(Report report, boolean mayStart, double nowS) {
+        return reportHandler.handleReport(report, mayStart, nowS);
     }
 
     /**
-     * Orders that are worth a message of their own instead of waiting for the machine's next report: stops, which free
-     * room that somebody waits for, and starts of work that is waited for by the second, or with {@code every} any start.
-     * Marks them as sent.
+     * Returns commands to be sent directly instead of in the response to the machine's next report, and marks them as sent:
+     * stops, which free capacity that other work waits for, and starts of gangs, services and accelerator tasks.
+     *
+     * @param mayStart whether start commands may be sent; stops of tasks that are not cancelled need this as well
+     * @param allStarts whether starts of all other tasks are sent directly, too
      */
-    public List<Command> takeDirectCommands(Machine m, boolean mayStart, boolean allStarts, double nowS) {
-        return commands.takeDirectCommands(m, mayStart, allStarts, nowS);
+    public List<Command> takeDirectCommands(Machine machine, boolean mayStart, boolean allStarts, double nowS) {
+        return commandHandler.takeDirectCommands(machine, mayStart, allStarts, nowS);
     }
 
-    /** Nothing of these orders was carried out, nor ever will be. */
-    public void recordRefusedCommands(Machine m, long session, List<Command> orders) {
-        commands.recordRefusedCommands(m, session, orders);
+    /** Records that the worker did not execute these commands and never will. */
+    public void recordRefusedCommands(Machine machine, long session, List<Command> commands) {
+        commandHandler.recordRefusedCommands(machine, session, commands);
     }
 
-    /** A worker's report as it comes back from orders sent directly to it; it renews no lease. */
-    public void recordCommandResponse(Machine m, Report r, List<Command> orders, double nowS) {
-        commands.recordCommandResponse(m, r, orders, nowS);
+    /** Applies the report that a worker returns in response to direct commands, which renews no worker lease. */
+    public void recordCommandResponse(Machine machine, Report report, List<Command> commands, double nowS) {
+        commandHandler.recordCommandResponse(machine, report, commands, nowS);
     }
 
-    /** Whether the machine must not be answered, so that its lease runs out. */
+    /** Whether reports of the machine must stay without a response, so that its worker lease expires. */
     public boolean mustWithholdResponse(String machine, double nowS) {
-        return commands.mustWithholdResponse(machine, nowS);
+        return commandHandler.mustWithholdResponse(machine, nowS);
     }
 
-    /** Standbys whose room has come free become ordinary placements; those that waited too long are given up. */
+    /** Turns standby placements whose capacity is free into ordinary ones, and drops those that have waited too long. */
     public void updateStandbys(double nowS) {
-        reports.updateStandbys(nowS);
+        reportHandler.updateStandbys(nowS);
     }
 
-    /** Whether this machine was proven gone. */
+    /** Whether this machine is proven gone. */
     boolean isMachineGone(String name) {
-        return departed.containsKey(name);
+        return departedAtS.containsKey(name);
     }
 
-    /** Room has come free, which somebody may wait for by the second. */
+    /**
+     * Records that capacity has become free.
+     *
+     * @param awaited whether other work waits for it even if no gang has a reservation and no service waits for capacity
+     */
     void markCapacityFreed(boolean awaited) {
-        takeCapacityFreed |= awaited || !reservations.isEmpty() || serviceWaiting;
+        capacityFreed |= awaited || !reservations.isEmpty() || serviceWaiting;
     }
 
-    /** A task that was placed in this zone runs. */
-    void recordStart(Placement p) {
-        startCounts.addSucceeded(p.zone);
+    /** Records that the worker reports a placement as running. */
+    void recordStart(Placement placement) {
+        startCounts.addSucceeded(placement.zone);
     }
 
-    /** A task has failed by itself, on a machine that may be at fault. */
-    void recordFailure(Machine m, Job j, long attempt) {
+    /** Records a failed task, for which its machine or its job may be at fault. */
+    void recordFailure(Machine machine, Job job, long attempt) {
         failedTasks++;
-        blame.recordFailure(m, j, attempt);
+        failureAttribution.recordFailure(machine, job, attempt);
     }
 
-    /** A task has completed, or a replica has run for long: neither its job nor its machine is at fault. */
-    void recordSuccess(Machine m, Job j) {
-        blame.recordSuccess(m, j);
+    /** Records a completed task or a stable replica, which shows that neither its job nor its machine is at fault. */
+    void recordSuccess(Machine machine, Job job) {
+        failureAttribution.recordSuccess(machine, job);
     }
 
-    /** A task has completed in this time; what that says of its machine and its class. */
-    void recordCompletion(Machine m, Placement p, double nowS) {
-        if (outcomes.recordCompletion(m, p, machines.size(), condemned, nowS)) {
-            addEvent("quarantined, runs tasks slowly", m.name);
+    /** Records the run time of a completed task in the statistics of its machine and its class. */
+    void recordCompletion(Machine machine, Placement placement, double nowS) {
+        if (runTimes.recordCompletion(machine, placement, machines.size(), quarantinedCount, nowS)) {
+            addEvent("quarantined, runs tasks slowly", machine.name);
         }
     }
 
-    // ---- proofs without the worker -----------------------------------------------------------------------------
+    // ---- ended attempts without a report of their worker -------------------------------------------------------
 
-    /** The cloud has confirmed that the machine and everything on it are gone. */
+    /** Removes a machine that, as the cloud has confirmed, no longer runs, with all attempts on it. */
     public void recordMachineGone(String name, double nowS, String reason) {
-        Machine m = machines.remove(name);
-        departed.put(name, nowS);
-        if (m == null) {
+        Machine machine = machines.remove(name);
+        departedAtS.put(name, nowS);
+        if (machine == null) {
             return;
         }
-        for (Placement p : new ArrayList<>(m.placements.values())) {
-            recordLostAttempt(p, nowS, 0, reason);
+        for (Placement placement : new ArrayList<>(machine.placements.values())) {
+            recordLostAttempt(placement, nowS, 0, reason);
         }
         addEvent("gone, " + reason, name);
     }
 
     /**
-     * Leases that have provably run out. Only a worker that has seen our token counts: before that an older leader
-     * may be keeping it alive, and nothing but our own answers renews it after.
+     * Ends the attempts on machines whose worker lease is proven to have expired. Only workers that have seen this term's
+     * fencing token count: until then an older leader may renew the lease, afterwards only responses of this leader do.
      */
     public void expireLeases(double nowS) {
-        condemned = 0;
-        for (Machine m : machines.values()) {
-            if (m.quarantined) {
-                condemned++;
+        quarantinedCount = 0;
+        for (Machine machine : machines.values()) {
+            if (machine.quarantined) {
+                quarantinedCount++;
             }
         }
-        double after = leaseS * (1 + Constants.MAX_CLOCK_DRIFT) + Constants.TIMING_MARGIN_S;
-        for (Machine m : machines.values()) {
-            if (!m.tokenConfirmed || Double.isNaN(m.lastResponseS) || nowS - m.lastResponseS <= after) {
+        double expiresAfterS = leaseS * (1 + Constants.MAX_CLOCK_DRIFT) + Constants.TIMING_MARGIN_S;
+        for (Machine machine : machines.values()) {
+            if (!machine.tokenConfirmed
+                    || Double.isNaN(machine.lastResponseS)
+                    || nowS - machine.lastResponseS <= expiresAfterS) {
                 continue;
             }
-            m.tokenConfirmed = false;
-            m.unreachable = true;
-            if (Double.isNaN(m.outOfContactSinceS)) {
-                m.outOfContactSinceS = nowS;
+            machine.tokenConfirmed = false;
+            machine.unreachable = true;
+            if (Double.isNaN(machine.outOfContactSinceS)) {
+                machine.outOfContactSinceS = nowS;
             }
-            m.orphans.clear();
-            for (Placement p : new ArrayList<>(m.placements.values())) {
-                recordLostAttempt(p, nowS, 0, "lease ran out");
+            machine.orphans.clear();
+            for (Placement placement : new ArrayList<>(machine.placements.values())) {
+                recordLostAttempt(placement, nowS, 0, "worker lease expired");
             }
         }
     }
 
-    /** The cloud's list: adopts what nobody expected; what failed by itself is gone. Returns failed ones to delete. */
+    /**
+     * Applies the cloud's machine list: adds unknown machines, and removes failed ones with their attempts.
+     *
+     * @param listLagS seconds by which the machine list may lag behind
+     * @return names of the failed machines, which are to be deleted in the cloud
+     */
     public List<String> applyMachineList(List<ListedMachine> machineList, double listLagS, double nowS) {
         List<String> failed = new ArrayList<>();
-        Set<String> names = new HashSet<>();
-        for (ListedMachine x : machineList) {
-            names.add(x.name());
+        Set<String> listedNames = new HashSet<>();
+        for (ListedMachine listed : machineList) {
+            listedNames.add(listed.name());
         }
-        for (Machine m : machines.values()) {
-            boolean shown = names.contains(m.name);
-            if (shown && Double.isNaN(m.firstListedS)) {
-                m.firstListedS = nowS;
+        for (Machine machine : machines.values()) {
+            boolean isListed = listedNames.contains(machine.name);
+            if (isListed && Double.isNaN(machine.firstListedS)) {
+                machine.firstListedS = nowS;
             }
-            // Once listed it stays so until it is gone, and no list is older than twice the lag.
-            m.unlisted = !shown && nowS - m.firstListedS > 2 * listLagS + Constants.TIMING_MARGIN_S;
+            // A machine that was listed once stays listed until it is gone, and no list is older than twice the lag.
+            machine.unlisted = !isListed && nowS - machine.firstListedS > 2 * listLagS + Constants.TIMING_MARGIN_S;
         }
-        for (ListedMachine x : machineList) {
-            if (departed.containsKey(x.name())) {
+        for (ListedMachine listed : machineList) {
+            if (departedAtS.containsKey(listed.name())) {
                 continue;
             }
-            Machine m = machines.get(x.name());
-            if (x.status() == ListedMachine.Status.FAILED) {
-                recordMachineGone(x.name(), nowS, "failed");
-                failed.add(x.name());
+            Machine machine = machines.get(listed.name());
+            if (listed.status() == ListedMachine.Status.FAILED) {
+                recordMachineGone(listed.name(), nowS, "failed");
+                failed.add(listed.name());
                 continue;
             }
-            if (m == null) {
-                m = new Machine(x.name(), nowS);
-                m.rentedS = nowS - x.ageS();
-                addMachine(m);
+            if (machine == null) {
+                machine = new Machine(listed.name(), nowS);
+                machine.rentedS = nowS - listed.ageS();
+                addMachine(machine);
             }
-            m.listedAsRunning |= x.status() == ListedMachine.Status.RUNNING;
-            if (m.type == null) {
-                m.type = types.get(x.type());
+            machine.listedAsRunning |= listed.status() == ListedMachine.Status.RUNNING;
+            if (machine.type == null) {
+                machine.type = machineTypes.get(listed.type());
             }
-            if (m.zone == null) {
-                m.zone = x.zone();
+            if (machine.zone == null) {
+                machine.zone = listed.zone();
             }
-            if (!m.hasReported) {
-                m.spot = x.spot();
+            if (!machine.hasReported) {
+                machine.spot = listed.spot();
             }
-            if (m.address == null) {
-                m.address = x.address();
+            if (machine.address == null) {
+                machine.address = listed.address();
             }
         }
         return failed;
     }
 
-    /** Images that an earlier leader saw on a machine; used once the machine is heard of. */
-    public void setExpectedImages(String machine, List<String> images) {
-        Machine m = machines.get(machine);
-        if (m != null) {
-            m.cachedImages.addAll(images);
+    /** Sets the images that an earlier leader saw on a machine; they apply once the machine is known. */
+    public void setExpectedImages(String machineName, List<String> images) {
+        Machine machine = machines.get(machineName);
+        if (machine != null) {
+            machine.cachedImages.addAll(images);
         } else {
-            expected.put(machine, images);
+            expectedImages.put(machineName, images);
         }
     }
 
-    /** Takes in a machine that was not known. */
-    Machine addMachine(Machine m) {
-        machines.put(m.name, m);
-        List<String> l = expected.remove(m.name);
-        if (l != null) {
-            m.cachedImages.addAll(l);
+    /** Adds a machine that was not known, with the images that an earlier leader saw on it. */
+    Machine addMachine(Machine machine) {
+        machines.put(machine.name, machine);
+        List<String> images = expectedImages.remove(machine.name);
+        if (images != null) {
+            machine.cachedImages.addAll(images);
         }
-        return m;
+        return machine;
     }
 
-    /** Takes in a machine that was just rented and has yet to boot. */
+    /** Adds a machine that was just rented and has not booted. */
     public void addRentedMachine(String name, String type, String zone, boolean spot, double nowS) {
-        if (departed.containsKey(name) || machines.containsKey(name)) {
+        if (departedAtS.containsKey(name) || machines.containsKey(name)) {
             return;
         }
-        Machine m = new Machine(name, nowS);
-        m.type = types.get(type);
-        m.zone = zone;
-        m.spot = spot;
-        m.markRented();
-        addMachine(m);
+        Machine machine = new Machine(name, nowS);
+        machine.type = machineTypes.get(type);
+        machine.zone = zone;
+        machine.spot = spot;
+        machine.markRented();
+        addMachine(machine);
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/CommandHandler.java
+++ b/src/main/java/org/mountlug/core/cluster/CommandHandler.java
@@ -9,128 +9,144 @@
 import org.mountlug.core.model.Report;
 
 /**
- * Orders that are sent directly to workers. What is sent there may take effect late: a start that nobody has answered is at
- * large until it is seen, or its session ends.
+ * Handles commands that are sent directly to workers. Such a command may take effect late: a start that was not
+ * acknowledged stays unconfirmed until a report shows the attempt or the worker's session ends.
  */
 final class CommandHandler {
     private final Cluster cluster;
-    private final ReportHandler reports;
+    private final ReportHandler reportHandler;
 
-    CommandHandler(Cluster cluster, ReportHandler reports) {
+    CommandHandler(Cluster cluster, ReportHandler reportHandler) {
         this.cluster = cluster;
-        this.reports = reports;
+        this.reportHandler = reportHandler;
     }
 
     /**
-     * Orders that are worth a message of their own instead of waiting for the machine's next report: stops, which free
-     * room that somebody waits for, and starts of work that is waited for by the second, or with {@code every} any start, as a
-     * slot that waits for a report is idle. Marks them as sent.
+     * Returns commands to be sent directly instead of in the response to the machine's next report, and marks them as sent:
+     * stops, which free capacity that other work waits for, and starts of gangs, services and accelerator tasks.
+     *
+     * @param mayStart whether start commands may be sent; stops of tasks that are not cancelled need this as well
+     * @param allStarts whether starts of all other tasks are sent directly, too, as capacity is idle until the next report
      */
-    List<Command> takeDirectCommands(Machine m, boolean mayStart, boolean allStarts, double nowS) {
-        if (!m.tokenConfirmed || m.unreachable || m.address == null) {
+    List<Command> takeDirectCommands(Machine machine, boolean mayStart, boolean allStarts, double nowS) {
+        if (!machine.tokenConfirmed || machine.unreachable || machine.address == null) {
             return List.of();
         }
-        List<Command> l = new ArrayList<>();
-        for (Placement p : m.placements.values()) {
-            if (p.session != m.session || cluster.jobs.get(p.job.spec.id()) != p.job) {
+        List<Command> commands = new ArrayList<>();
+        for (Placement placement : machine.placements.values()) {
+            if (placement.session != machine.session || cluster.jobs.get(placement.job.spec.id()) != placement.job) {
                 continue;
             }
-            if (p.stopping
-                    && p.reported
-                    && !p.directStopSent
-                    && p.state != AttemptState.EXITED
-                    && (mayStart || p.job.cancelled)) {
-                p.directStopSent = true;
-                l.add(new Command(Command.Verb.STOP, p.taskName(), p.attempt, p.gracePeriodS));
+            if (placement.stopping
+                    && placement.reported
+                    && !placement.directStopSent
+                    && placement.state != AttemptState.EXITED
+                    && (mayStart || placement.job.cancelled)) {
+                placement.directStopSent = true;
+                commands.add(new Command(
+                        Command.Verb.STOP, placement.taskName(), placement.attempt, placement.gracePeriodS));
             } else if (mayStart
-                    && startable(m, p)
+                    && canSendStart(machine, placement)
                     && (allStarts
-                            || p.job.spec.isGang()
-                            || p.job.spec.isService()
-                            || p.job.spec.request().gpus() > 0)) {
-                p.startUnconfirmed = true;
-                p.directStartSentS = nowS;
-                m.unconfirmedStarts.add(Machine.attemptKey(p.job.spec.id(), p.task, p.attempt));
-                l.add(new Command(Command.Verb.START, p.taskName(), p.attempt, 0));
+                            || placement.job.spec.isGang()
+                            || placement.job.spec.isService()
+                            || placement.job.spec.request().gpus() > 0)) {
+                placement.startUnconfirmed = true;
+                placement.directStartSentS = nowS;
+                machine.unconfirmedStarts.add(
+                        Machine.attemptKey(placement.job.spec.id(), placement.task, placement.attempt));
+                commands.add(new Command(Command.Verb.START, placement.taskName(), placement.attempt, 0));
             }
         }
-        return l;
+        return commands;
     }
 
-    private boolean startable(Machine m, Placement p) {
-        return p.startReportSequence < 0
-                && !p.startUnconfirmed
-                && !p.reported
-                && !p.stopping
-                && !p.standby
-                && !p.job.cancelled
-                && Double.isNaN(p.directStartSentS)
-                && p.session == m.session
-                && p.job.isDurable(p.task, p.version);
+    private boolean canSendStart(Machine machine, Placement placement) {
+        return placement.startReportSequence < 0
+                && !placement.startUnconfirmed
+                && !placement.reported
+                && !placement.stopping
+                && !placement.standby
+                && !placement.job.cancelled
+                && Double.isNaN(placement.directStartSentS)
+                && placement.session == machine.session
+                && placement.job.isDurable(placement.task, placement.version);
     }
 
-    /** Nothing of these orders was carried out, nor ever will be. */
-    void recordRefusedCommands(Machine m, long session, List<Command> orders) {
-        if (m.session != session) {
+    /** Records that the worker did not execute these commands and never will. */
+    void recordRefusedCommands(Machine machine, long session, List<Command> commands) {
+        if (machine.session != session) {
             return;
         }
-        for (Command o : orders) {
-            Placement p = m.placements.get(o.taskName());
+        for (Command command : commands) {
+            Placement placement = machine.placements.get(command.taskName());
             // Not sent directly again, or a worker that refuses connections is called ten times a second; answers carry
             // it.
-            if (p == null || p.attempt != o.attempt() || o.verb() == Command.Verb.STOP) {
+            if (placement == null || placement.attempt != command.attempt() || command.verb() == Command.Verb.STOP) {
                 continue;
             }
-            p.startUnconfirmed = false;
-            m.unconfirmedStarts.remove(Machine.attemptKey(p.job.spec.id(), p.task, p.attempt));
+            placement.startUnconfirmed = false;
+            machine.unconfirmedStarts.remove(
+                    Machine.attemptKey(placement.job.spec.id(), placement.task, placement.attempt));
         }
     }
 
     /**
-     * A worker's report as it comes back from orders sent directly to it. It renews no lease, and what it lacks may
-     * still come by an answer on its way, so it only shows what is there.
+     * Applies the report that a worker returns in response to direct commands. It renews no worker lease. It proves only
+     * which attempts exist: the start of an attempt that it lacks may still arrive with a response in transit.
      */
-    void recordCommandResponse(Machine m, Report r, List<Command> orders, double nowS) {
-        if (r.token() > cluster.token() || cluster.machines.get(m.name) != m || r.session() != m.session) {
+    void recordCommandResponse(Machine machine, Report report, List<Command> commands, double nowS) {
+        if (report.token() > cluster.token()
+                || cluster.machines.get(machine.name) != machine
+                || report.session() != machine.session) {
             return;
         }
-        for (Command o : orders) {
-            if (o.verb() != Command.Verb.START) {
+        for (Command command : commands) {
+            if (command.verb() != Command.Verb.START) {
                 continue;
             }
-            Placement p = m.placements.get(o.taskName());
-            if (p == null || p.attempt != o.attempt()) {
+            Placement placement = machine.placements.get(command.taskName());
+            if (placement == null || placement.attempt != command.attempt()) {
                 continue;
             }
-            p.startUnconfirmed = false;
-            p.reported = true;
-            m.unconfirmedStarts.remove(Machine.attemptKey(p.job.spec.id(), p.task, p.attempt));
+            placement.startUnconfirmed = false;
+            placement.reported = true;
+            machine.unconfirmedStarts.remove(
+                    Machine.attemptKey(placement.job.spec.id(), placement.task, placement.attempt));
         }
-        if (!r.isNewerThan(m.session, m.sequence) || r.token() != cluster.token()) {
+        if (!report.isNewerThan(machine.session, machine.sequence) || report.token() != cluster.token()) {
             return;
         }
-        m.sequence = r.sequence();
-        m.lastReportS = nowS;
-        for (Report.AttemptStatus i : r.attempts()) {
-            Placement p = m.placements.get(i.job() + "/" + i.task());
-            if (p == null || p.attempt != i.attempt()) {
+        machine.sequence = report.sequence();
+        machine.lastReportS = nowS;
+        for (Report.AttemptStatus status : report.attempts()) {
+            Placement placement = machine.placements.get(status.job() + "/" + status.task());
+            if (placement == null || placement.attempt != status.attempt()) {
                 continue;
             }
-            reports.updateFromReport(m, p, i, Machine.attemptKey(i.job(), i.task(), i.attempt()), nowS);
+            reportHandler.updateFromReport(
+                    machine,
+                    placement,
+                    status,
+                    Machine.attemptKey(status.job(), status.task(), status.attempt()),
+                    nowS);
         }
     }
 
     /**
-     * Whether the machine must not be answered, so that its lease runs out: a start sent to it has neither been
-     * answered nor taken effect, and only the end of its session proves that it never will.
+     * Whether reports of the machine must stay without a response, so that its worker lease expires: a start sent directly
+     * to it was neither acknowledged nor reported, and only the end of the worker's session proves that it never takes
+     * effect.
      */
-    boolean mustWithholdResponse(String machine, double nowS) {
-        Machine m = cluster.machines.get(machine);
-        if (m == null || m.unconfirmedStarts.isEmpty()) {
+    boolean mustWithholdResponse(String machineName, double nowS) {
+        Machine machine = cluster.machines.get(machineName);
+        if (machine == null || machine.unconfirmedStarts.isEmpty()) {
             return false;
         }
-        for (Placement p : m.placements.values()) {
-            if (p.startUnconfirmed && !p.reported && nowS - p.directStartSentS > Constants.UNCONFIRMED_START_S) {
+        for (Placement placement : machine.placements.values()) {
+            if (placement.startUnconfirmed
+                    && !placement.reported
+                    && nowS - placement.directStartSentS > Constants.UNCONFIRMED_START_S) {
                 return true;
             }
         }
--- a/src/main/java/org/mountlug/core/cluster/EventSummary.java
+++ b/src/main/java/org/mountlug/core/cluster/EventSummary.java
@@ -6,37 +6,37 @@
 import java.util.Map;
 
 /**
- * What happened to jobs and machines since it was last asked, for the log: events of one kind are merged to a line that
- * says how many there were, however many tasks or machines fall together.
+ * Collects events of jobs and machines for the log. Events of one kind are merged into one line with their number, so that
+ * the log stays short when many tasks or machines are affected at once.
  */
 public final class EventSummary {
-    /** Subjects of one line that are named. */
-    private static final int NAMED = 3;
+    /** Maximum number of subjects that one line names. */
+    private static final int MAX_NAMED_SUBJECTS = 3;
 
-    private final Map<String, List<String>> subjects = new LinkedHashMap<>();
+    private final Map<String, List<String>> subjectsByKind = new LinkedHashMap<>();
 
-    /** An event of a kind, with its subject: a task, a machine or a job. */
+    /** Adds an event of a kind, with its subject: a task, a machine or a job. */
     public void add(String kind, String subject) {
-        subjects.computeIfAbsent(kind, k -> new ArrayList<>()).add(subject);
+        subjectsByKind.computeIfAbsent(kind, k -> new ArrayList<>()).add(subject);
     }
 
-    /** One line for each kind of event, in the order of their first. */
+    /** Returns one line for each kind of event, ordered by the first event of each kind. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
-        subjects.forEach((kind, all) -> {
-            String named = String.join(", ", all.subList(0, Math.min(NAMED, all.size())));
+        subjectsByKind.forEach((kind, subjects) -> {
+            String named = String.join(", ", subjects.subList(0, Math.min(MAX_NAMED_SUBJECTS, subjects.size())));
             lines.add(
-                    all.size() <= NAMED
+                    subjects.size() <= MAX_NAMED_SUBJECTS
                             ? kind + ": " + named
-                            : kind + ": " + all.size() + ", " + named + " and others");
+                            : kind + ": " + subjects.size() + ", " + named + " and others");
         });
         return lines;
     }
 
-    /** One line for each event. */
+    /** Returns one line for each event. */
     public List<String> detailLines() {
         List<String> lines = new ArrayList<>();
-        subjects.forEach((kind, all) -> all.forEach(subject -> lines.add(kind + ": " + subject)));
+        subjectsByKind.forEach((kind, subjects) -> subjects.forEach(subject -> lines.add(kind + ": " + subject)));
         return lines;
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/FailureAttribution.java
+++ b/src/main/java/org/mountlug/core/cluster/FailureAttribution.java
@@ -7,22 +7,22 @@
 import org.mountlug.core.model.Job;
 
 /**
- * Tells faulty machines from jobs with a mistake by where tasks failed, as neither says so of itself. A machine is
- * condemned when different jobs fail on it in a row, or one that works elsewhere. A job that has failed on several
- * machines and works on none is suspected instead, and from then on its failures count against no machine; what they
- * have counted before is taken back.
+ * Distinguishes faulty machines from faulty jobs by where tasks fail, as neither reports a fault of its own. A machine is
+ * quarantined when different jobs fail on it in a row, or a job that works on other machines. A job that has failed on
+ * several machines and works on none is suspected instead: its failures no longer count against machines, and those
+ * counted before are discounted.
  */
 final class FailureAttribution {
-    private final Function<String, Machine> machines;
-    private final BiConsumer<String, String> events;
+    private final Function<String, Machine> machineByName;
+    private final BiConsumer<String, String> eventSink;
 
-    /** @param machines finds a machine by name, or null */
-    FailureAttribution(Function<String, Machine> machines, BiConsumer<String, String> events) {
-        this.machines = machines;
-        this.events = events;
+    /** @param machineByName finds a machine by name, or null */
+    FailureAttribution(Function<String, Machine> machineByName, BiConsumer<String, String> eventSink) {
+        this.machineByName = machineByName;
+        this.eventSink = eventSink;
     }
 
-    /** A task of the job has failed on the machine. */
+    /** Records that a task of the job has failed on the machine. */
     void recordFailure(Machine machine, Job job, long attempt) {
         FailureHistory history = job.failureHistory;
         history.recordFailure(machine.name, attempt);
@@ -31,12 +31,12 @@
         }
         machine.failuresByJob.merge(job, 1, Integer::sum);
         if (failsEverywhere(job)) {
-            suspect(job);
+            markSuspected(job);
         }
-        judge(machine);
+        quarantineIfAtFault(machine);
     }
 
-    /** A task of the job has completed on the machine, or a replica of it has run for long. */
+    /** Records that a task of the job has completed on the machine, or that a replica has run stably on it. */
     void recordSuccess(Machine machine, Job job) {
         machine.failuresByJob.clear();
         FailureHistory history = job.failureHistory;
@@ -44,82 +44,82 @@
             return;
         }
         if (history.isSuspected()) {
-            events.accept("no longer suspected, as a task has completed", job.spec.id());
+            eventSink.accept("no longer suspected, as a task has completed", job.spec.id());
         }
-        // The blame for its failures is settled: they were the machines'.
-        String[] failedOn = history.failedMachines().toArray(new String[0]);
+        // The job works, so its earlier failures are attributed to the machines.
+        String[] failedMachines = history.failedMachines().toArray(new String[0]);
         history.recordCompletion();
-        for (String name : failedOn) {
-            Machine other = machines.apply(name);
-            if (other != null) {
-                judge(other);
+        for (String name : failedMachines) {
+            Machine failedMachine = machineByName.apply(name);
+            if (failedMachine != null) {
+                quarantineIfAtFault(failedMachine);
             }
         }
     }
 
-    /** A job that earlier leaders saw fail again and again and never complete anything begins under suspicion. */
+    /** Marks a loaded job as suspected if it failed repeatedly under earlier leaders and completed no task. */
     void recordLoadedJob(Job job) {
         int failures = 0;
-        for (int n : job.failuresByTask.values()) {
-            failures += n;
+        for (int taskFailures : job.failuresByTask.values()) {
+            failures += taskFailures;
         }
         if (failures >= Constants.SUSPECT_JOB_MACHINES && job.doneTasks.isEmpty() && !job.spec.isService()) {
-            suspect(job);
+            markSuspected(job);
         }
     }
 
-    /** The job is over: one that was cancelled without ever having worked blames no machine. */
+    /** Discounts the failures of a finished job that completed no task, as it may have been at fault itself. */
     void recordFinishedJob(Job job) {
         if (job.doneTasks.isEmpty()) {
-            takeBack(job);
+            discountFailures(job);
         }
     }
 
     private static boolean failsEverywhere(Job job) {
-        int failedOn = job.failureHistory.failedMachines().size();
-        if (failedOn < Constants.SUSPECT_JOB_MACHINES || !job.doneTasks.isEmpty()) {
+        int failedMachineCount = job.failureHistory.failedMachines().size();
+        if (failedMachineCount < Constants.SUSPECT_JOB_MACHINES || !job.doneTasks.isEmpty()) {
             return false;
         }
-        // What runs on other machines may fail there as well, or be the proof that it works.
-        long runsElsewhere = job.placements.values().stream()
-                .filter(p -> !Double.isNaN(p.runningSinceS)
-                        && !job.failureHistory.failedMachines().contains(p.machine))
-                .map(p -> p.machine)
+        // Tasks that run on other machines may fail there as well, or prove that the job works.
+        long otherMachineCount = job.placements.values().stream()
+                .filter(placement -> !Double.isNaN(placement.runningSinceS)
+                        && !job.failureHistory.failedMachines().contains(placement.machine))
+                .map(placement -> placement.machine)
                 .distinct()
                 .count();
-        return runsElsewhere < failedOn;
+        return otherMachineCount < failedMachineCount;
     }
 
-    private void suspect(Job job) {
-        events.accept("suspected, as it fails on every machine; tried one attempt at a time", job.spec.id());
-        takeBack(job);
+    private void markSuspected(Job job) {
+        eventSink.accept("suspected, as it fails on every machine; retried one attempt at a time", job.spec.id());
+        discountFailures(job);
         job.failureHistory.markSuspected();
     }
 
-    private void takeBack(Job job) {
+    private void discountFailures(Job job) {
         for (String name : job.failureHistory.failedMachines()) {
-            Machine machine = machines.apply(name);
+            Machine machine = machineByName.apply(name);
             if (machine == null || machine.failuresByJob.remove(job) == null) {
                 continue;
             }
-            if (machine.quarantinedForFailures && !machine.beingReturned && !guilty(machine)) {
+            if (machine.quarantinedForFailures && !machine.beingReturned && !isProbablyAtFault(machine)) {
                 machine.quarantinedForFailures = false;
                 machine.quarantined = false;
-                events.accept("quarantine lifted, failures were the fault of " + job.spec.id(), machine.name);
+                eventSink.accept("quarantine lifted, failures are attributed to job " + job.spec.id(), machine.name);
             }
         }
     }
 
-    private void judge(Machine machine) {
-        if (machine.quarantined || !guilty(machine)) {
+    private void quarantineIfAtFault(Machine machine) {
+        if (machine.quarantined || !isProbablyAtFault(machine)) {
             return;
         }
         machine.quarantined = true;
         machine.quarantinedForFailures = true;
-        events.accept("quarantined after failures", machine.name);
+        eventSink.accept("quarantined after failures", machine.name);
     }
 
-    private static boolean guilty(Machine machine) {
+    private static boolean isProbablyAtFault(Machine machine) {
         return machine.failureCount() >= Constants.QUARANTINE_FAILURES
                 && (machine.failuresByJob.size() >= 2
                         || machine.failuresByJob.keySet().stream().anyMatch(job -> worksElsewhere(job, machine)));
@@ -129,6 +129,7 @@
         return !job.doneTasks.isEmpty()
                 || job.spec.isService()
                         && job.placements.values().stream()
-                                .anyMatch(p -> !p.machine.equals(machine.name) && !Double.isNaN(p.runningSinceS));
+                                .anyMatch(placement -> !placement.machine.equals(machine.name)
+                                        && !Double.isNaN(placement.runningSinceS));
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/FleetStatus.java
+++ b/src/main/java/org/mountlug/core/cluster/FleetStatus.java
@@ -1,6 +1,12 @@
 package org.mountlug.core.cluster;
 
-/** Numbers that tell an operator how the jobs and machines of the leader stand. */
+/**
+ * Counts of the leader's jobs and machines by state, for operators.
+ *
+ * @param silent machines that have reported, but not within the last worker lease
+ * @param lostTasks attempts that have ended without a result in this term
+ * @param failedTasks attempts that have failed in this term
+ */
 public record FleetStatus(
         int liveJobs,
         int suspectedJobs,
--- a/src/main/java/org/mountlug/core/cluster/Machine.java
+++ b/src/main/java/org/mountlug/core/cluster/Machine.java
@@ -12,11 +12,15 @@
 import org.mountlug.core.model.Report;
 import org.mountlug.core.model.Resources;
 
-/** What the leader knows of a machine: what it may hold, what it last said, and what is planned for it. */
+/** The leader's view of a machine: its placements, its last report, and what is planned for it. */
 public final class Machine {
-    /** An attempt that ended, kept until its outcome is durable and the worker has been told to forget it. */
+    /**
+     * An attempt that has exited, kept until its outcome is durable and the worker can be commanded to forget it.
+     *
+     * @param version version of the job that contains the outcome
+     */
     public record ExitedAttempt(Job job, int task, long version) {
-        boolean durable() {
+        boolean isDurable() {
             return job.isDurable(task, version);
         }
     }
@@ -27,76 +31,95 @@
     public boolean spot;
     public String address;
 
-    /** Session and sequence of the newest report. */
+    /** Session of the newest report. */
     public long session;
 
+    /** Sequence number of the newest report, also if it came in the response to a direct command; -1 before the first. */
     public long sequence = -1;
-    /** Sequence of the newest message that was a report, not the answer to orders sent directly here. */
+    /** Sequence number of the newest report that was not the response to a direct command, -1 before the first. */
     long reportSequence = -1;
-    /** Whether a report carried our own token: from then on no older leader's word can take effect. */
+    /** Whether the newest report carried this leader's fencing token, so that no older leader's command can take effect. */
     public boolean tokenConfirmed;
-    /** Steady seconds of our last answer that may have renewed the worker's lease, NaN if none. */
+    /**
+     * Monotonic time in seconds of this leader's last response that may have renewed the worker lease, {@code NaN} if there
+     * was none.
+     */
     public double lastResponseS = Double.NaN;
     /**
-     * Whether it may hear nothing of what we answer: its lease ran out, its session rose or starts had no effect. It
-     * gets no work until two reports in a row come to us, as a worker without an answer goes on to another node.
+     * Whether responses may not reach the machine, as its worker lease expired, a new session began or starts had no effect.
+     * It gets no work until two consecutive reports come to this controller, as a worker that gets no response sends its
+     * next report to another controller.
      */
     public boolean unreachable;
-    /** Steady seconds since when it has not been both synced and hearing, NaN while it is. */
+    /**
+     * Monotonic time in seconds since which the machine has been unreachable or has not confirmed the fencing token,
+     * {@code NaN} while it is reachable and has confirmed it.
+     */
     public double outOfContactSinceS = Double.NaN;
-    /** Steady seconds when last heard of, and when it was rented (or first seen). */
+    /** Monotonic time in seconds of the last report; before the first, the time at which the machine became known. */
     public double lastReportS;
 
+    /** Monotonic time in seconds at which the machine was rented, or first seen if that is unknown. */
     public double rentedS;
+    /** Whether the machine has reported to this leader. */
     public boolean hasReported;
-    /** Whether this leader ordered it and has not looked at how long it took to boot. */
+    /** Whether this leader rented the machine and its boot time has not been taken. */
     private boolean awaitingBoot;
 
-    private double firstHeardS = Double.NaN;
-    /** Whether the cloud's list shows it running: then it has come up, whether we have heard of it or not. */
+    /** Monotonic time in seconds of the first report, {@code NaN} before it. */
+    private double firstReportS = Double.NaN;
+    /** Whether the machine list has shown the machine as running, so that it has booted even if it has not reported. */
     public boolean listedAsRunning;
-    /** Steady seconds when the cloud's list first showed it, NaN if it has not. */
+    /** Monotonic time in seconds at which the machine list first showed the machine, {@code NaN} if it has not. */
     public double firstListedS = Double.NaN;
-    /** Whether the list has stopped showing it: the cloud has taken it, or it was returned by somebody. */
+    /** Whether the machine list no longer shows the machine, as the cloud has reclaimed it or it was returned. */
     public boolean unlisted;
-    /** Steady seconds when the cloud takes it, NaN while there is no notice. */
+    /** Monotonic time in seconds at which the cloud reclaims the machine, {@code NaN} while no reclaim is announced. */
     public double reclaimAtS = Double.NaN;
-    /** Whether it is being returned; nothing is placed on it any more. */
+    /** Whether the machine is being returned; no new work is placed on it. */
     public boolean beingReturned;
-    /** Whether its failures have condemned it. */
+    /** Whether the machine gets no new work after failures or because it runs tasks slowly. */
     public boolean quarantined;
-    /** Whether its zone is lost, or gets work only by and by: no work elsewhere may count on its room. */
+    /** Whether the machine's zone is lost or gets work only gradually; work of other zones must not rely on its capacity. */
     public boolean zoneRestricted;
-    /** Whether its work is moved away because it is not needed any more; nothing new is placed on it. */
+    /** Whether the machine's work is moved away because it is no longer needed; no new work is placed on it. */
     public boolean draining;
 
+    /** Monotonic time in seconds since which the machine has had no work. */
     public double idleSinceS;
-    /** The gang for which it is kept from being filled again, or null. */
+    /** The id of the gang for which the machine is kept free of other work, or null. */
     public String heldForGang;
-    /** Steady seconds until which no overflowing work is added, so that accelerator work can have it. */
+    /** Monotonic time in seconds until which no overflow is placed here, so that accelerator work can use the machine. */
     public double noOverflowUntilS = Double.NEGATIVE_INFINITY;
 
+    /** Placements on the machine by task name. */
     public final Map<String, Placement> placements = new LinkedHashMap<>();
-    /** Attempts it reports that no record places here; they occupy room until they exit. */
+    /** By attempt key: reported attempts that no record places here; they occupy capacity until they exit. */
     public final Map<String, Report.AttemptStatus> orphans = new HashMap<>();
 
+    /** By attempt key: attempts that have exited in this session and that the worker has not been commanded to forget. */
     public final Map<String, ExitedAttempt> exitedAttempts = new HashMap<>();
-    /** Attempts whose start was sent directly here and never answered for; not to be forgotten in this session. */
+    /** Keys of attempts with an unconfirmed start; the worker must not forget them in this session. */
     public final Set<String> unconfirmedStarts = new HashSet<>();
 
+    /** Images in the machine's cache, the most recently used last. */
     public final Set<String> cachedImages = new LinkedHashSet<>();
-    /** Jobs whose tasks failed here since the last success, with how many did; those suspected themselves left out. */
+    /** By job: number of tasks that have failed here since the last success, without those of suspected jobs. */
     final Map<Job, Integer> failuresByJob = new HashMap<>();
-    /** Whether it was condemned for tasks that failed, which may turn out to have been the jobs' fault. */
+    /** Whether the machine was quarantined for failed tasks, which may later be attributed to their jobs. */
     boolean quarantinedForFailures;
-    /** How much slower than others it ran its last tasks, and when that was last judged, see {@link RunTimeStatistics}. */
+    /** How much slower than other machines this one ran its last tasks; see {@link RunTimeStatistics}. */
     double slowness;
 
+    /** Monotonic time in seconds at which the slowness was last updated. */
     double slownessJudgedS = Double.NEGATIVE_INFINITY;
-    /** Steady seconds of the end of its last longer silence: what ran then is not known to have ended when reported. */
+    /**
+     * Monotonic time in seconds at which the last silence of more than half a worker lease ended. Tasks that ran during it
+     * may have ended long before their exit was reported.
+     */
     double silenceEndedS = Double.NEGATIVE_INFINITY;
 
-    /** A machine of which nothing but its name is known. */
+    /** Creates a machine of which only the name is known. */
     public Machine(String name, double nowS) {
         this.name = name;
         this.lastReportS = nowS;
@@ -104,12 +127,12 @@
         this.idleSinceS = nowS;
     }
 
-    /** Names one attempt of a task. */
-    public static String attemptKey(String job, int task, long attempt) {
-        return job + "/" + task + "#" + attempt;
+    /** Returns the key that identifies an attempt of a task. */
+    public static String attemptKey(String jobId, int task, long attempt) {
+        return jobId + "/" + task + "#" + attempt;
     }
 
-    /** How many tasks have failed here since the last success, as far as that may be the machine's fault. */
+    /** Returns how many tasks have failed here since the last success, without those of suspected jobs. */
     public int failureCount() {
         int failures = 0;
         for (int count : failuresByJob.values()) {
@@ -118,45 +141,45 @@
         return failures;
     }
 
-    /** What it has not heard until now was the network's doing, and does not count against it. */
+    /** Counts the time out of contact from now on, as the network and not the machine was at fault before. */
     public void resetOutOfContact(double nowS) {
         if (!Double.isNaN(outOfContactSinceS)) {
             outOfContactSinceS = nowS;
         }
     }
 
-    /** Notes its order by this leader, who so knows when it was sent. */
+    /** Records that this leader rented the machine, so that the time of the request is known. */
     void markRented() {
         awaitingBoot = true;
     }
 
-    /** Whether this leader ordered it and has not seen it come up. */
+    /** Whether this leader rented the machine and has not recorded its boot time. */
     public boolean awaitingBoot() {
         return awaitingBoot;
     }
 
-    /** Notes its first report. */
+    /** Records the first report. */
     void recordFirstReport(double nowS) {
         hasReported = true;
         idleSinceS = nowS;
-        firstHeardS = nowS;
+        firstReportS = nowS;
     }
 
-    /** Whether its boot has been watched to its end; true once. */
+    /** Whether a boot that this leader requested has completed; true only on the first call after that. */
     public boolean takeBootCompleted() {
-        boolean watched = awaitingBoot && hasReported;
-        if (watched) {
+        boolean completed = awaitingBoot && hasReported;
+        if (completed) {
             awaitingBoot = false;
         }
-        return watched;
+        return completed;
     }
 
-    /** Seconds from its order to its first report. */
+    /** Returns the seconds from the rental to the first report, {@code NaN} before that. */
     public double bootDurationS() {
-        return firstHeardS - rentedS;
+        return firstReportS - rentedS;
     }
 
-    /** Whether it has come up, by its own word or the cloud's. */
+    /** Whether the machine has booted, according to a report or the cloud's machine list. */
     public boolean hasBooted() {
         return hasReported || listedAsRunning;
     }
@@ -173,29 +196,29 @@
                 && Double.isNaN(reclaimAtS);
     }
 
-    /** What its placements take, those on standby left out. */
+    /** Returns the resources that the placements hold, without those on standby. */
     public Resources allocated() {
-        Resources r = Resources.ZERO;
-        for (Placement p : placements.values()) {
-            if (!p.standby) {
-                r = r.plus(p.job.spec.request());
+        Resources total = Resources.ZERO;
+        for (Placement placement : placements.values()) {
+            if (!placement.standby) {
+                total = total.plus(placement.job.spec.request());
             }
         }
-        return r;
+        return total;
     }
 
-    /** The part of {@link #allocated} whose tasks were told to stop. */
+    /** Returns the part of {@link #allocated} that belongs to tasks that must stop. */
     public Resources releasingCapacity() {
-        Resources r = Resources.ZERO;
-        for (Placement p : placements.values()) {
-            if (p.stopping && !p.standby) {
-                r = r.plus(p.job.spec.request());
+        Resources total = Resources.ZERO;
+        for (Placement placement : placements.values()) {
+            if (placement.stopping && !placement.standby) {
+                total = total.plus(placement.job.spec.request());
             }
         }
-        return r;
+        return total;
     }
 
-    /** Steady seconds at which it should be up, by its type's nominal boot time. */
+    /** Returns the monotonic time in seconds at which the machine should be ready, by its type's nominal boot time. */
     public double expectedReadyS(double nowS) {
         if (hasReported) {
             return nowS;
@@ -203,15 +226,15 @@
         return Math.max(nowS + 1, rentedS + (type == null ? 60 : type.bootS()));
     }
 
-    /** What replicas of services take here; nothing may count on that to come free. */
+    /** Returns the resources that replicas of services hold here; they must not be expected to become free. */
     public Resources allocatedToServices() {
-        Resources r = Resources.ZERO;
-        for (Placement p : placements.values()) {
-            if (p.job.spec.isService()) {
-                r = r.plus(p.job.spec.request());
+        Resources total = Resources.ZERO;
+        for (Placement placement : placements.values()) {
+            if (placement.job.spec.isService()) {
+                total = total.plus(placement.job.spec.request());
             }
         }
-        return r;
+        return total;
     }
 
     /** Whether nothing is placed or running here. */
--- a/src/main/java/org/mountlug/core/cluster/RecordCapacity.java
+++ b/src/main/java/org/mountlug/core/cluster/RecordCapacity.java
@@ -6,63 +6,67 @@
 import org.mountlug.core.model.Job;
 import org.mountlug.core.model.Placement;
 
-/** How much of a job one record holds, as long as no parts may be written. */
+/** Computes how many tasks of a job fit into one job record, which limits placements while no record parts may be written. */
 final class RecordCapacity {
-    private boolean parts;
-    private double recordChars = 8 * 1024 * Constants.VALUE_FILL_SHARE - Constants.RECORD_FIXED_CHARS;
+    private boolean partsAllowed;
+    private double availableChars = 8 * 1024 * Constants.VALUE_FILL_SHARE - Constants.RECORD_FIXED_CHARS;
 
-    /** Tells how many KiB a record may have. */
-    void setValueLimitKib(double kib) {
-        recordChars = kib * 1024 * Constants.VALUE_FILL_SHARE - Constants.RECORD_FIXED_CHARS;
+    /** Sets the maximum size of a record in KiB. */
+    void setValueLimitKib(double limitKib) {
+        availableChars = limitKib * 1024 * Constants.VALUE_FILL_SHARE - Constants.RECORD_FIXED_CHARS;
     }
 
-    /** From now on what does not fit goes into parts. */
+    /** Allows record parts, so that the size of a record no longer limits the number of tasks. */
     void allowParts() {
-        parts = true;
+        partsAllowed = true;
     }
 
     /**
-     * How many more tasks of a job may be placed so that its record surely stays within the value limit, however the
-     * tasks that are placed now end: of a run of tasks every second one may stay, each then written by itself, and each
-     * new task may need a machine of its own.
+     * Returns how many more tasks of a job may be placed such that its record stays within the value limit, whichever of
+     * the tasks that are placed now end. In the worst case every second task of a run (consecutive tasks with the same
+     * attempt number on one machine) stays placed and is then written separately, and each new task needs another machine.
      */
-    int remainingTasks(Job j) {
-        if (parts) {
+    int remainingTasks(Job job) {
+        if (partsAllowed) {
             return Integer.MAX_VALUE;
         }
-        int digits = Integer.toString(j.spec.tasks()).length();
-        int task = digits + Long.toString(j.lastAttempt + 1).length() + 2;
-        double used = j.spec.jobClass().length()
-                + j.spec.team().length()
-                + j.spec.image().length();
-        if (j.spec.machineTypes() != null) {
-            for (String t : j.spec.machineTypes()) {
-                used += t.length() + 3;
+        int digits = Integer.toString(job.spec.tasks()).length();
+        int charsPerTask = digits + Long.toString(job.lastAttempt + 1).length() + 2;
+        double usedChars = job.spec.jobClass().length()
+                + job.spec.team().length()
+                + job.spec.image().length();
+        if (job.spec.machineTypes() != null) {
+            for (String type : job.spec.machineTypes()) {
+                usedChars += type.length() + 3;
             }
         }
-        Object2ObjectOpenHashMap<String, Placement> last = new Object2ObjectOpenHashMap<>();
-        Object2IntOpenHashMap<String> run = new Object2IntOpenHashMap<>();
-        for (Placement p : j.placements.values()) {
-            Placement before = last.put(p.machine, p);
-            if (before == null) {
-                used += p.machine.length() + Constants.RECORD_MACHINE_OVERHEAD_CHARS;
+        Object2ObjectOpenHashMap<String, Placement> lastPlacementByMachine = new Object2ObjectOpenHashMap<>();
+        Object2IntOpenHashMap<String> runLengthByMachine = new Object2IntOpenHashMap<>();
+        for (Placement placement : job.placements.values()) {
+            Placement previous = lastPlacementByMachine.put(placement.machine, placement);
+            if (previous == null) {
+                usedChars += placement.machine.length() + Constants.RECORD_MACHINE_OVERHEAD_CHARS;
             }
-            boolean goesOn = before != null && before.task == p.task - 1 && before.attempt == p.attempt;
-            int n = goesOn ? run.getInt(p.machine) + 1 : 1;
-            run.put(p.machine, n);
-            // A run of two takes as much as two single ones; of more, at the worst every second one is left.
-            if (n <= 2 || n % 2 == 1) {
-                used += task;
+            boolean continuesRun =
+                    previous != null && previous.task == placement.task - 1 && previous.attempt == placement.attempt;
+            int runLength = continuesRun ? runLengthByMachine.getInt(placement.machine) + 1 : 1;
+            runLengthByMachine.put(placement.machine, runLength);
+            // A run of two takes as much as two single tasks; of a longer run, every second task is left in the worst
+            // case.
+            if (runLength <= 2 || runLength % 2 == 1) {
+                usedChars += charsPerTask;
             }
         }
-        // Done ranges lie between open or placed tasks; a bit a task is the other way to write them.
-        double bits = j.spec.tasks() / 6.0 + 8;
-        int range = 2 * digits + 2;
-        double done = Math.min(bits, range * (j.placements.size() + 1.0));
-        double each = task + Constants.ASSUMED_MACHINE_NAME_CHARS + Constants.RECORD_MACHINE_OVERHEAD_CHARS;
-        if (bits > range * (j.placements.size() + 1.0)) {
-            each += range;
+        // Done tasks are written as ranges, which lie between pending or placed tasks, or as a bitmap with a bit per
+        // task.
+        double bitmapChars = job.spec.tasks() / 6.0 + 8;
+        int charsPerRange = 2 * digits + 2;
+        double doneChars = Math.min(bitmapChars, charsPerRange * (job.placements.size() + 1.0));
+        double charsPerNewTask =
+                charsPerTask + Constants.ASSUMED_MACHINE_NAME_CHARS + Constants.RECORD_MACHINE_OVERHEAD_CHARS;
+        if (bitmapChars > charsPerRange * (job.placements.size() + 1.0)) {
+            charsPerNewTask += charsPerRange;
         }
-        return (int) Math.max(0, Math.floor((recordChars - used - done) / each));
+        return (int) Math.max(0, Math.floor((availableChars - usedChars - doneChars) / charsPerNewTask));
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/ReportHandler.java
+++ b/src/main/java/org/mountlug/core/cluster/ReportHandler.java
@@ -13,8 +13,9 @@
 import org.mountlug.core.model.Report;
 
 /**
- * Workers' reports: what each proves of the attempts that are placed there, and what to answer. A report counts as proof
- * only if it carries the leader's token and is newer than all before by (session, sequence).
+ * Handles workers' reports: what each proves about the attempts placed on its machine, and the commands for the response.
+ * A report proves something only if it carries this leader's fencing token and is newer than all earlier reports by
+ * (session, sequence).
  */
 final class ReportHandler {
     private final Cluster cluster;
@@ -25,291 +26,325 @@
         this.leaseS = leaseS;
     }
 
-    /** Takes in a worker's report and says what to answer; null means the reporter knows a newer leader than us. */
-    List<Command> handleReport(Report r, boolean mayStart, double nowS) {
-        if (r.token() > cluster.token()) {
+    /**
+     * Applies a worker's report and returns the commands for the response; null means that the worker has seen the fencing
+     * token of a newer leader.
+     *
+     * @param mayStart whether the response may contain start commands
+     */
+    List<Command> handleReport(Report report, boolean mayStart, double nowS) {
+        if (report.token() > cluster.token()) {
             return null;
         }
-        if (cluster.isMachineGone(r.machine())) {
-            return List.of(); // a late word of a machine that was returned
+        if (cluster.isMachineGone(report.machine())) {
+            return List.of(); // a late report of a machine that is proven gone
         }
-        Machine m = cluster.machines.get(r.machine());
-        if (m == null) {
-            m = new Machine(r.machine(), nowS);
-            cluster.addMachine(m);
-            cluster.addEvent("found " + r.machineType() + " in " + r.zone() + (r.spot() ? " spot" : ""), m.name);
+        Machine machine = cluster.machines.get(report.machine());
+        if (machine == null) {
+            machine = new Machine(report.machine(), nowS);
+            cluster.addMachine(machine);
+            cluster.addEvent(
+                    "found machine of type " + report.machineType() + " in zone " + report.zone()
+                            + (report.spot() ? ", spot" : ""),
+                    machine.name);
         }
-        if (!r.isNewerThan(m.session, m.sequence)) {
-            // Overtaken by the answer to orders sent directly to the worker, it may still be the one report that it
-            // waits
-            // for, and then what we answer renews its lease. A copy of a report that we had is no such thing, nor is
-            // one
-            // that a later report has followed.
-            if (r.session() == m.session && r.sequence() > m.reportSequence) {
-                m.reportSequence = r.sequence();
-                m.lastResponseS = nowS;
+        if (!report.isNewerThan(machine.session, machine.sequence)) {
+            // If only the response to a direct command has overtaken this report, the worker may still wait for the
+            // response to it, which then renews its lease. A repeated report, or one that a later report has followed,
+            // renews no lease.
+            if (report.session() == machine.session && report.sequence() > machine.reportSequence) {
+                machine.reportSequence = report.sequence();
+                machine.lastResponseS = nowS;
             }
-            return List.of(); // held back on its way: as old as its sequence
+            return List.of(); // delayed in transit; a newer report was applied before
         }
-        if (!m.hasReported) {
-            m.recordFirstReport(nowS);
+        if (!machine.hasReported) {
+            machine.recordFirstReport(nowS);
         }
-        boolean served = m.tokenConfirmed && !m.unreachable;
-        if (r.session() > m.session && m.sequence >= 0) {
-            m.unreachable = true;
-        } else if (r.token() == cluster.token()
-                && r.sequence() == m.sequence + 1
-                && nowS - m.lastReportS < Constants.MAX_CONSECUTIVE_REPORT_GAP_S) {
-            m.unreachable = false;
+        boolean wasInContact = machine.tokenConfirmed && !machine.unreachable;
+        if (report.session() > machine.session && machine.sequence >= 0) {
+            machine.unreachable = true;
+        } else if (report.token() == cluster.token()
+                && report.sequence() == machine.sequence + 1
+                && nowS - machine.lastReportS < Constants.MAX_CONSECUTIVE_REPORT_GAP_S) {
+            machine.unreachable = false;
         }
-        m.type = cluster.type(r.machineType());
-        m.zone = r.zone();
-        m.spot = r.spot();
-        m.address = r.address();
-        if (nowS - m.lastReportS > leaseS / 2) {
-            m.silenceEndedS = nowS;
+        machine.type = cluster.type(report.machineType());
+        machine.zone = report.zone();
+        machine.spot = report.spot();
+        machine.address = report.address();
+        if (nowS - machine.lastReportS > leaseS / 2) {
+            machine.silenceEndedS = nowS;
         }
-        m.lastReportS = nowS;
-        if (r.session() != m.session) {
-            m.exitedAttempts.clear();
-            m.unconfirmedStarts.clear(); // a command names its session
+        machine.lastReportS = nowS;
+        if (report.session() != machine.session) {
+            machine.exitedAttempts.clear();
+            machine.unconfirmedStarts.clear(); // commands of an earlier session have no effect
         }
-        m.session = r.session();
-        m.sequence = r.sequence();
-        m.reportSequence = r.sequence();
-        if (!Double.isNaN(r.reclaimInS())) {
-            if (Double.isNaN(m.reclaimAtS)) {
-                cluster.addEvent("notice, taken in " + Math.round(r.reclaimInS()) + " s", m.name);
+        machine.session = report.session();
+        machine.sequence = report.sequence();
+        machine.reportSequence = report.sequence();
+        if (!Double.isNaN(report.reclaimInS())) {
+            if (Double.isNaN(machine.reclaimAtS)) {
+                cluster.addEvent("reclaim announced in " + Math.round(report.reclaimInS()) + " s", machine.name);
             }
-            m.reclaimAtS = nowS + r.reclaimInS();
+            machine.reclaimAtS = nowS + report.reclaimInS();
         }
-        // A report under an older cluster.token() may be followed by an older leader's word; it proves nothing.
-        m.tokenConfirmed = r.token() == cluster.token();
-        // Nothing could be given to it until now, so it has not been idle; else what comes back from a cut is returned.
-        if (!served && m.tokenConfirmed && !m.unreachable) {
-            m.idleSinceS = nowS;
+        // After a report with an older token, an older leader's command may still take effect, so it proves nothing.
+        machine.tokenConfirmed = report.token() == cluster.token();
+        // No work could be placed on the machine until now, so it does not count as idle; otherwise machines that are
+        // reachable again after a network partition would be returned.
+        if (!wasInContact && machine.tokenConfirmed && !machine.unreachable) {
+            machine.idleSinceS = nowS;
         }
-        if (m.tokenConfirmed && !m.unreachable) {
-            m.outOfContactSinceS = Double.NaN;
-        } else if (Double.isNaN(m.outOfContactSinceS)) {
-            m.outOfContactSinceS = nowS;
+        if (machine.tokenConfirmed && !machine.unreachable) {
+            machine.outOfContactSinceS = Double.NaN;
+        } else if (Double.isNaN(machine.outOfContactSinceS)) {
+            machine.outOfContactSinceS = nowS;
         }
-        m.lastResponseS = nowS;
-        if (!m.tokenConfirmed) {
-            return stops(m, r);
+        machine.lastResponseS = nowS;
+        if (!machine.tokenConfirmed) {
+            return stopCommandsForCancelledJobs(machine, report);
         }
-        return settle(m, r, mayStart, nowS);
+        return reconcileAttempts(machine, report, mayStart, nowS);
     }
 
     /**
-     * What can be said to a worker that has not seen our cluster.token(): cancelled tasks stop with the first answer, as the same
-     * answer renews their lease and leaders may change again before the next. A stop names an attempt and proves nothing.
+     * Returns the commands for a worker that has not seen this leader's fencing token. Cancelled tasks must stop with the
+     * first response, as that response also renews the worker lease and the leader may change again before the next one. A
+     * stop names its attempt, and sending it proves nothing about the attempt.
      */
-    private List<Command> stops(Machine m, Report r) {
-        List<Command> orders = new ArrayList<>();
-        for (Report.AttemptStatus i : r.attempts()) {
-            Placement p = m.placements.get(i.job() + "/" + i.task());
-            if (p == null || p.attempt != i.attempt() || !p.job.cancelled || i.state() == AttemptState.EXITED) {
+    private List<Command> stopCommandsForCancelledJobs(Machine machine, Report report) {
+        List<Command> commands = new ArrayList<>();
+        for (Report.AttemptStatus status : report.attempts()) {
+            Placement placement = machine.placements.get(status.job() + "/" + status.task());
+            if (placement == null
+                    || placement.attempt != status.attempt()
+                    || !placement.job.cancelled
+                    || status.state() == AttemptState.EXITED) {
                 continue;
             }
-            orders.add(new Command(Command.Verb.STOP, p.taskName(), p.attempt, p.gracePeriodS));
+            commands.add(
+                    new Command(Command.Verb.STOP, placement.taskName(), placement.attempt, placement.gracePeriodS));
         }
-        return orders;
+        return commands;
     }
 
-    /** Takes in what a report shows of an attempt that is placed there. */
-    void updateFromReport(Machine m, Placement p, Report.AttemptStatus i, String key, double nowS) {
-        p.reported = true;
-        p.state = i.state();
-        if (i.state() == AttemptState.EXITED) {
-            ended(m, p, i, key, nowS);
-        } else if (i.state() == AttemptState.RUNNING && Double.isNaN(p.runningSinceS)) {
-            p.runningSinceS = nowS;
-            cluster.recordStart(p);
-            if (p.job.spec.isService()) {
-                p.job.markChanged(p.task, nowS, false); // its user is told how many run
+    /** Applies the state that a report shows for a placed attempt. */
+    void updateFromReport(
+            Machine machine, Placement placement, Report.AttemptStatus status, String attemptKey, double nowS) {
+        placement.reported = true;
+        placement.state = status.state();
+        if (status.state() == AttemptState.EXITED) {
+            handleExit(machine, placement, status, attemptKey, nowS);
+        } else if (status.state() == AttemptState.RUNNING && Double.isNaN(placement.runningSinceS)) {
+            placement.runningSinceS = nowS;
+            cluster.recordStart(placement);
+            if (placement.job.spec.isService()) {
+                placement.job.markChanged(placement.task, nowS, false); // users see how many replicas run
             }
-            m.cachedImages.remove(p.job.spec.image());
-            m.cachedImages.add(p.job.spec.image());
+            machine.cachedImages.remove(placement.job.spec.image());
+            machine.cachedImages.add(placement.job.spec.image());
         }
     }
 
-    private List<Command> settle(Machine m, Report r, boolean mayStart, double nowS) {
-        List<Command> orders = new ArrayList<>();
-        Map<String, Report.AttemptStatus> shown = new HashMap<>();
-        for (Report.AttemptStatus i : r.attempts()) {
-            shown.put(Machine.attemptKey(i.job(), i.task(), i.attempt()), i);
+    private List<Command> reconcileAttempts(Machine machine, Report report, boolean mayStart, double nowS) {
+        List<Command> commands = new ArrayList<>();
+        Map<String, Report.AttemptStatus> reportedAttempts = new HashMap<>();
+        for (Report.AttemptStatus status : report.attempts()) {
+            reportedAttempts.put(Machine.attemptKey(status.job(), status.task(), status.attempt()), status);
         }
-        m.orphans.clear();
-        for (Placement p : new ArrayList<>(m.placements.values())) {
-            if (p.session < m.session) {
-                cluster.recordLostAttempt(p, nowS, 0, "new session");
+        machine.orphans.clear();
+        for (Placement placement : new ArrayList<>(machine.placements.values())) {
+            if (placement.session < machine.session) {
+                cluster.recordLostAttempt(placement, nowS, 0, "new worker session");
                 continue;
             }
-            String key = Machine.attemptKey(p.job.spec.id(), p.task, p.attempt);
-            Report.AttemptStatus i = shown.remove(key);
-            if (i == null) {
-                absent(m, p, r, nowS);
+            String attemptKey = Machine.attemptKey(placement.job.spec.id(), placement.task, placement.attempt);
+            Report.AttemptStatus status = reportedAttempts.remove(attemptKey);
+            if (status == null) {
+                handleMissingAttempt(machine, placement, report, nowS);
                 continue;
             }
-            updateFromReport(m, p, i, key, nowS);
-            if (i.state() != AttemptState.EXITED && p.stopping) {
-                orders.add(new Command(Command.Verb.STOP, p.taskName(), p.attempt, p.gracePeriodS));
+            updateFromReport(machine, placement, status, attemptKey, nowS);
+            if (status.state() != AttemptState.EXITED && placement.stopping) {
+                commands.add(new Command(
+                        Command.Verb.STOP, placement.taskName(), placement.attempt, placement.gracePeriodS));
             }
         }
-        for (Report.AttemptStatus i : r.attempts()) {
-            String key = Machine.attemptKey(i.job(), i.task(), i.attempt());
-            String name = i.job() + "/" + i.task();
-            if (i.state() == AttemptState.EXITED) {
-                Machine.ExitedAttempt e = m.exitedAttempts.get(key);
-                // Forgetting early would let a repeated start run it again, or lose the result.
-                // A start still at large would run it once more if it were forgotten.
-                if (m.unconfirmedStarts.contains(key)) {
+        for (Report.AttemptStatus status : report.attempts()) {
+            String attemptKey = Machine.attemptKey(status.job(), status.task(), status.attempt());
+            String taskName = status.job() + "/" + status.task();
+            if (status.state() == AttemptState.EXITED) {
+                Machine.ExitedAttempt exited = machine.exitedAttempts.get(attemptKey);
+                // If the worker forgot the attempt too early, a repeated start could run it again, or its result could
+                // be lost. An unconfirmed start would run it again, too.
+                if (machine.unconfirmedStarts.contains(attemptKey)) {
                     continue;
                 }
-                if (e == null || e.durable() || cluster.jobs.get(i.job()) != e.job()) {
-                    m.exitedAttempts.remove(key);
-                    orders.add(new Command(Command.Verb.FORGET, name, i.attempt(), 0));
+                if (exited == null || exited.isDurable() || cluster.jobs.get(status.job()) != exited.job()) {
+                    machine.exitedAttempts.remove(attemptKey);
+                    commands.add(new Command(Command.Verb.FORGET, taskName, status.attempt(), 0));
                 }
-            } else if (shown.containsKey(key)) {
-                m.orphans.put(key, i);
-                orders.add(new Command(Command.Verb.STOP, name, i.attempt(), 0));
+            } else if (reportedAttempts.containsKey(attemptKey)) {
+                machine.orphans.put(attemptKey, status);
+                commands.add(new Command(Command.Verb.STOP, taskName, status.attempt(), 0));
             }
         }
         if (mayStart) {
-            for (Placement p : m.placements.values()) {
-                if (p.startReportSequence >= 0
-                        || p.reported
-                        || p.stopping
-                        || p.job.cancelled
-                        || p.session != m.session) {
+            for (Placement placement : machine.placements.values()) {
+                if (placement.startReportSequence >= 0
+                        || placement.reported
+                        || placement.stopping
+                        || placement.job.cancelled
+                        || placement.session != machine.session) {
                     continue;
                 }
-                if (!p.job.isDurable(p.task, p.version) || cluster.jobs.get(p.job.spec.id()) != p.job) {
+                if (!placement.job.isDurable(placement.task, placement.version)
+                        || cluster.jobs.get(placement.job.spec.id()) != placement.job) {
                     continue;
                 }
-                if (p.standby && !mayBegin(m, p)) {
+                if (placement.standby && !canStartStandby(machine, placement)) {
                     continue;
                 }
-                p.standby = false;
-                p.startReportSequence = r.sequence();
-                orders.add(new Command(Command.Verb.START, p.taskName(), p.attempt, 0));
+                placement.standby = false;
+                placement.startReportSequence = report.sequence();
+                commands.add(new Command(Command.Verb.START, placement.taskName(), placement.attempt, 0));
             }
         }
-        if (!m.isEmpty()) {
-            m.idleSinceS = nowS;
+        if (!machine.isEmpty()) {
+            machine.idleSinceS = nowS;
         }
-        return orders;
+        return commands;
     }
 
-    /** Whether what a standby waited for has ended. */
-    private static boolean mayBegin(Machine m, Placement p) {
-        return m.type != null
-                && m.orphans.isEmpty()
-                && p.job.spec.request().fitsIn(m.type.capacity().minus(m.allocated()));
+    /** Whether the capacity that a standby placement waits for is free. */
+    private static boolean canStartStandby(Machine machine, Placement placement) {
+        return machine.type != null
+                && machine.orphans.isEmpty()
+                && placement.job.spec.request().fitsIn(machine.type.capacity().minus(machine.allocated()));
     }
 
-    /** Standbys whose room has come free become ordinary placements; those that waited too long are given up. */
+    /** Turns standby placements whose capacity is free into ordinary ones, and drops those that have waited too long. */
     void updateStandbys(double nowS) {
-        for (Machine m : cluster.machines.values()) {
-            for (Placement p : new ArrayList<>(m.placements.values())) {
-                if (!p.standby) {
+        for (Machine machine : cluster.machines.values()) {
+            for (Placement placement : new ArrayList<>(machine.placements.values())) {
+                if (!placement.standby) {
                     continue;
                 }
-                if (mayBegin(m, p)) {
-                    p.standby = false;
-                } else if (nowS - p.placedAtS > Constants.MAX_STANDBY_WAIT_S) {
-                    cluster.removePlacement(p); // its start never left
-                    p.job.markChanged(p.task, nowS, false);
+                if (canStartStandby(machine, placement)) {
+                    placement.standby = false;
+                } else if (nowS - placement.placedAtS > Constants.MAX_STANDBY_WAIT_S) {
+                    cluster.removePlacement(placement); // its start was never sent
+                    placement.job.markChanged(placement.task, nowS, false);
                 }
             }
         }
     }
 
-    /** A newer report lacks an attempt: its start, if any, was dropped for good, since workers drop late answers. */
-    private void absent(Machine m, Placement p, Report r, double nowS) {
-        if (p.reported) {
-            // At large, it could even begin once more; but a worker forgets an attempt only when told to.
-            cluster.recordLostAttempt(p, nowS, 0, "not reported any more");
-        } else if (p.startUnconfirmed) {
-            // No proof of anything, but an answer may bring the same start sooner; see unanswerable.
-            if (r.sequence() > p.startReportSequence) {
-                p.startReportSequence = -1;
+    /**
+     * Handles a placed attempt that a newer report lacks. A start that was sent in a response to an earlier report can no
+     * longer take effect, as workers discard late responses.
+     */
+    private void handleMissingAttempt(Machine machine, Placement placement, Report report, double nowS) {
+        if (placement.reported) {
+            // An unconfirmed start could run the attempt again only if the worker had forgotten it, which needs a
+            // command.
+            cluster.recordLostAttempt(placement, nowS, 0, "no longer reported");
+        } else if (placement.startUnconfirmed) {
+            // The report proves nothing about the unconfirmed start, but the response may deliver the same start sooner
+            // than the direct command; see CommandHandler.mustWithholdResponse for a start that never takes effect.
+            if (report.sequence() > placement.startReportSequence) {
+                placement.startReportSequence = -1;
             }
-        } else if (p.stopping) {
-            if (p.job.isDurable(p.task, p.version)) {
-                cluster.recordLostAttempt(p, nowS, 0, "stopped before it began");
+        } else if (placement.stopping) {
+            if (placement.job.isDurable(placement.task, placement.version)) {
+                cluster.recordLostAttempt(placement, nowS, 0, "stopped before it started");
             }
-        } else if (p.startReportSequence >= 0 && r.sequence() > p.startReportSequence) {
-            // Once, an answer was lost; twice, the machine does not hear us, and what waits for it must not wait
-            // longer.
-            if (++p.ignoredStarts < Constants.MAX_IGNORED_STARTS) {
-                p.startReportSequence = -1; // goes out again with this answer
+        } else if (placement.startReportSequence >= 0 && report.sequence() > placement.startReportSequence) {
+            // After one ignored start a response was probably lost. After two, responses do not reach the machine, and
+            // the task must not wait any longer.
+            if (++placement.ignoredStarts < Constants.MAX_IGNORED_STARTS) {
+                placement.startReportSequence = -1; // sent again with this response
             } else {
-                m.unreachable = true;
-                cluster.recordLostAttempt(p, nowS, 0, "its start has no effect");
+                machine.unreachable = true;
+                cluster.recordLostAttempt(placement, nowS, 0, "its start had no effect");
             }
         }
     }
 
-    private void ended(Machine m, Placement p, Report.AttemptStatus i, String key, double nowS) {
-        Job j = p.job;
-        if (j.spec.isService()) {
-            cluster.recordLostAttempt(p, nowS, replicaEnded(m, p, i.cause(), nowS), "replica exited " + i.cause());
-        } else if (i.cause() == ExitCause.DONE) {
-            cluster.removePlacement(p);
+    private void handleExit(
+            Machine machine, Placement placement, Report.AttemptStatus status, String attemptKey, double nowS) {
+        Job job = placement.job;
+        if (job.spec.isService()) {
+            cluster.recordLostAttempt(
+                    placement,
+                    nowS,
+                    handleReplicaExit(machine, placement, status.cause(), nowS),
+                    "replica exited " + status.cause());
+        } else if (status.cause() == ExitCause.DONE) {
+            cluster.removePlacement(placement);
             cluster.markCapacityFreed(false);
-            cluster.recordCompletion(m, p, nowS);
-            if (j.spec.isGang()) { // a gang completes together
-                j.doneTasks.set(0, j.spec.tasks());
-                for (int t = 0; t < j.spec.tasks(); t = j.firstTaskOf(j.partOf(t) + 1)) {
-                    j.markChanged(t, nowS, true);
+            cluster.recordCompletion(machine, placement, nowS);
+            if (job.spec.isGang()) { // all tasks of a gang complete together
+                job.doneTasks.set(0, job.spec.tasks());
+                for (int firstTask = 0;
+                        firstTask < job.spec.tasks();
+                        firstTask = job.firstTaskOf(job.partOf(firstTask) + 1)) {
+                    job.markChanged(firstTask, nowS, true);
                 }
             } else {
-                j.doneTasks.set(p.task);
+                job.doneTasks.set(placement.task);
             }
-            j.failuresByTask.remove(p.task);
-            cluster.recordSuccess(m, j);
-            j.markChanged(p.task, nowS, j.isComplete());
+            job.failuresByTask.remove(placement.task);
+            cluster.recordSuccess(machine, job);
+            job.markChanged(placement.task, nowS, job.isComplete());
         } else {
-            double retry = 0;
-            if (i.cause() == ExitCause.ERROR) {
-                int n = j.failuresByTask.addTo(p.task, 1) + 1;
-                retry = Math.min(Constants.MAX_TASK_RETRY_S, Constants.TASK_RETRY_BASE_S * Math.pow(2, n - 1));
-                cluster.recordFailure(m, j, p.attempt);
-                if (j.failureHistory.isSuspected()) {
-                    j.pausedUntilS = Math.max(j.pausedUntilS, nowS + j.failureHistory.retryDelayS());
+            double retryS = 0;
+            if (status.cause() == ExitCause.ERROR) {
+                int failures = job.failuresByTask.addTo(placement.task, 1) + 1;
+                retryS = Math.min(Constants.MAX_TASK_RETRY_S, Constants.TASK_RETRY_BASE_S * Math.pow(2, failures - 1));
+                cluster.recordFailure(machine, job, placement.attempt);
+                if (job.failureHistory.isSuspected()) {
+                    job.pausedUntilS = Math.max(job.pausedUntilS, nowS + job.failureHistory.retryDelayS());
                 }
-            } else if (i.cause() == ExitCause.FULL || i.cause() == ExitCause.BUSY || i.cause() == ExitCause.UNKNOWN) {
-                retry = Constants.REFUSED_START_RETRY_S;
+            } else if (status.cause() == ExitCause.FULL
+                    || status.cause() == ExitCause.BUSY
+                    || status.cause() == ExitCause.UNKNOWN) {
+                retryS = Constants.REFUSED_START_RETRY_S;
             }
-            cluster.recordLostAttempt(p, nowS, retry, "exited " + i.cause() + (i.saved() ? ", saved" : ""));
+            cluster.recordLostAttempt(
+                    placement, nowS, retryS, "exited " + status.cause() + (status.saved() ? ", saved" : ""));
         }
-        m.exitedAttempts.put(key, new Machine.ExitedAttempt(j, p.task, j.version));
+        machine.exitedAttempts.put(attemptKey, new Machine.ExitedAttempt(job, placement.task, job.version));
     }
 
     /**
-     * A replica has ended by itself, with whatever cause: it has to run again, and elsewhere. Returns the seconds until
-     * then: none for one that had settled or failed once, as the fault is most likely the machine's; one that ends at
-     * once again and again must not take the turn of the others.
+     * Handles the exit of a replica, which has to run again, and on another machine unless a stop ended it. Returns the
+     * seconds until its retry: none if the replica ran stably or exited for the first time, as the machine is then probably
+     * at fault. A replica that keeps exiting early is delayed, so that it does not take the turn of other work, and so is a
+     * refused start.
      */
-    private double replicaEnded(Machine m, Placement p, ExitCause cause, double nowS) {
-        Job j = p.job;
+    private double handleReplicaExit(Machine machine, Placement placement, ExitCause cause, double nowS) {
+        Job job = placement.job;
         if (cause == ExitCause.STOPPED) {
             return 0;
         }
-        j.avoidedMachineByTask.put(p.task, m.name);
+        job.avoidedMachineByTask.put(placement.task, machine.name);
         if (cause == ExitCause.FULL || cause == ExitCause.BUSY || cause == ExitCause.UNKNOWN) {
             return Constants.REFUSED_START_RETRY_S;
         }
-        if (!Double.isNaN(p.runningSinceS) && nowS - p.runningSinceS > Constants.REPLICA_STABLE_AFTER_S) {
-            j.failuresByTask.remove(p.task);
-            cluster.recordSuccess(m, j);
+        if (!Double.isNaN(placement.runningSinceS)
+                && nowS - placement.runningSinceS > Constants.REPLICA_STABLE_AFTER_S) {
+            job.failuresByTask.remove(placement.task);
+            cluster.recordSuccess(machine, job);
         }
-        int n = j.failuresByTask.addTo(p.task, 1) + 1;
+        int failures = job.failuresByTask.addTo(placement.task, 1) + 1;
         if (cause == ExitCause.ERROR) {
-            cluster.recordFailure(m, j, p.attempt);
+            cluster.recordFailure(machine, job, placement.attempt);
         }
-        return n < 2 ? 0 : Math.min(Constants.MAX_TASK_RETRY_S, Constants.TASK_RETRY_BASE_S * Math.pow(2, n - 2));
+        return failures < 2
+                ? 0
+                : Math.min(Constants.MAX_TASK_RETRY_S, Constants.TASK_RETRY_BASE_S * Math.pow(2, failures - 2));
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/RunTimeStatistics.java
+++ b/src/main/java/org/mountlug/core/cluster/RunTimeStatistics.java
@@ -6,75 +6,86 @@
 import org.mountlug.core.model.Placement;
 
 /**
- * What the ends of tasks tell: of a class, how long its tasks run against their owners' estimates; of a machine, whether
- * work may be left to it. Everything is judged from outcomes alone, as no machine says of itself that it is faulty.
+ * Statistics of the run times of completed tasks: for a job class, how long its tasks run compared with the users'
+ * estimates; for a machine, whether it runs tasks slowly. Only outcomes count, as no machine reports that it is faulty.
  */
 final class RunTimeStatistics {
-    /** By class: sums of actual over estimated run time and of their number, the latest counting most. */
-    private final Object2ObjectOpenHashMap<String, double[]> pace = new Object2ObjectOpenHashMap<>();
-    /** By live job: sum of the logarithms of its tasks' run times, and their number. */
-    private final Object2ObjectOpenHashMap<String, double[]> runs = new Object2ObjectOpenHashMap<>();
+    /** By class: sum of the ratios of actual to estimated run time, and their number, both with exponential decay. */
+    private final Object2ObjectOpenHashMap<String, double[]> runTimeRatiosByClass = new Object2ObjectOpenHashMap<>();
+    /** By id of a live job: sum of the logarithms of its tasks' run times, and their number. */
+    private final Object2ObjectOpenHashMap<String, double[]> runTimeLogsByJob = new Object2ObjectOpenHashMap<>();
 
-    /** Run time to expect of a task, the owner's estimate corrected by what the class has shown. */
-    double expectedRunS(Job j) {
-        double[] p = pace.get(j.spec.jobClass());
-        double f = p == null ? 1 : (p[0] + 4) / (p[1] + 4);
-        return Math.max(1, j.spec.expectedRunS() * Math.min(3, Math.max(0.3, f)));
+    /** Returns the expected run time of a task in seconds: the user's estimate, corrected by the ratio of its class. */
+    double expectedRunS(Job job) {
+        double[] ratios = runTimeRatiosByClass.get(job.spec.jobClass());
+        double factor = ratios == null ? 1 : (ratios[0] + 4) / (ratios[1] + 4);
+        return Math.max(1, job.spec.expectedRunS() * Math.min(3, Math.max(0.3, factor)));
     }
 
     /**
-     * A task has completed, while so many machines are up and so many of them are condemned; returns what there is to
-     * say if this one is condemned by it, else null.
+     * Records a completed task and returns whether its machine has been quarantined for slowness by it.
+     *
+     * @param machineCount number of machines
+     * @param quarantinedCount number of quarantined machines, which limits further quarantines
      */
-    boolean recordCompletion(Machine m, Placement p, int machineCount, int quarantinedCount, double nowS) {
-        Job j = p.job;
-        // What began in an earlier term began at a time that we do not know: counted from our first look, all of it
-        // would seem short, and what runs in full after it slow.
-        if (Double.isNaN(p.runningSinceS) || p.version == 0) {
+    boolean recordCompletion(
+            Machine machine, Placement placement, int machineCount, int quarantinedCount, double nowS) {
+        Job job = placement.job;
+        // The start time of a task that began in an earlier term is unknown. Counted from the first report in this
+        // term, all such tasks would seem short, and the tasks after them slow.
+        if (Double.isNaN(placement.runningSinceS) || placement.version == 0) {
             return false;
         }
-        double ran = Math.max(0.5, nowS - p.runningSinceS);
-        if (j.spec.expectedRunS() > 0 && j.spec.checkpointIntervalS() == 0) {
-            double[] x = pace.computeIfAbsent(j.spec.jobClass(), k -> new double[2]);
-            x[0] = x[0] * 0.99 + ran / j.spec.expectedRunS();
-            x[1] = x[1] * 0.99 + 1;
+        double runS = Math.max(0.5, nowS - placement.runningSinceS);
+        if (job.spec.expectedRunS() > 0 && job.spec.checkpointIntervalS() == 0) {
+            double[] ratios = runTimeRatiosByClass.computeIfAbsent(job.spec.jobClass(), k -> new double[2]);
+            ratios[0] = ratios[0] * 0.99 + runS / job.spec.expectedRunS();
+            ratios[1] = ratios[1] * 0.99 + 1;
         }
-        return j.spec.isGang()
+        return job.spec.isGang()
                 ? false
-                : slow(m, p, ran, quarantinedCount < Math.max(1, machineCount * Constants.MAX_QUARANTINED_SHARE), nowS);
+                : quarantineIfSlow(
+                        machine,
+                        placement,
+                        runS,
+                        quarantinedCount < Math.max(1, machineCount * Constants.MAX_QUARANTINED_SHARE),
+                        nowS);
     }
 
     /**
-     * A machine that runs tasks slower than others run tasks of the same job, one after the other: a sum of how much
-     * slower, less what is within the ordinary, that starts anew whenever it falls below nothing. A gang runs at the
-     * speed of its slowest machine, so its tasks tell nothing of any one; nor do those that ended unseen.
+     * Updates the slowness of a machine and returns whether the machine has been quarantined for it. The slowness is a
+     * cumulative sum over its tasks of how much longer they ran than the mean of their job, on a logarithmic scale and less
+     * a tolerance; it restarts at zero whenever it becomes negative. Tasks of gangs do not count, as a gang runs at the
+     * speed of its slowest machine, nor do tasks that ran during a silence, as their end was not observed.
      */
-    private boolean slow(Machine m, Placement p, double ran, boolean may, double nowS) {
-        double[] r = runs.computeIfAbsent(p.job.spec.id(), k -> new double[2]);
-        double log = Math.log(ran);
-        double mean = r[1] > 0 ? r[0] / r[1] : log;
-        boolean judged =
-                r[1] >= Constants.SLOWNESS_MIN_SAMPLES && p.runningSinceS > m.silenceEndedS && nowS > m.slownessJudgedS;
-        r[0] += Math.min(log, mean + Constants.MAX_SLOWNESS_PER_TASK_LOG);
-        r[1]++;
-        if (!judged) {
+    private boolean quarantineIfSlow(
+            Machine machine, Placement placement, double runS, boolean mayQuarantine, double nowS) {
+        double[] jobLogs = runTimeLogsByJob.computeIfAbsent(placement.job.spec.id(), k -> new double[2]);
+        double runLog = Math.log(runS);
+        double meanLog = jobLogs[1] > 0 ? jobLogs[0] / jobLogs[1] : runLog;
+        boolean isComparable = jobLogs[1] >= Constants.SLOWNESS_MIN_SAMPLES
+                && placement.runningSinceS > machine.silenceEndedS
+                && nowS > machine.slownessJudgedS;
+        jobLogs[0] += Math.min(runLog, meanLog + Constants.MAX_SLOWNESS_PER_TASK_LOG);
+        jobLogs[1]++;
+        if (!isComparable) {
             return false;
         }
-        m.slownessJudgedS = nowS; // what ended together, ended late together
-        m.slowness = Math.max(
+        machine.slownessJudgedS = nowS; // of tasks reported as exited together only one counts
+        machine.slowness = Math.max(
                 0,
-                m.slowness
-                        + Math.min(Constants.MAX_SLOWNESS_PER_TASK_LOG, log - mean)
+                machine.slowness
+                        + Math.min(Constants.MAX_SLOWNESS_PER_TASK_LOG, runLog - meanLog)
                         - Constants.SLOWNESS_TOLERANCE_LOG);
-        if (m.slowness < Constants.SLOWNESS_QUARANTINE_THRESHOLD || m.quarantined || !may) {
+        if (machine.slowness < Constants.SLOWNESS_QUARANTINE_THRESHOLD || machine.quarantined || !mayQuarantine) {
             return false;
         }
-        m.quarantined = true;
+        machine.quarantined = true;
         return true;
     }
 
-    /** The job is over, and what was learnt of its tasks with it. */
-    void removeJob(String job) {
-        runs.remove(job);
+    /** Removes the statistics of a finished job. */
+    void removeJob(String jobId) {
+        runTimeLogsByJob.remove(jobId);
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/StartCounts.java
+++ b/src/main/java/org/mountlug/core/cluster/StartCounts.java
@@ -3,28 +3,28 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many starts have succeeded and how many came to nothing in each zone, since this term began. */
+/** Counts the starts that have succeeded and that were lost in each zone since this term began. */
 public final class StartCounts {
-    private final Map<String, Long> succeeded = new HashMap<>();
-    private final Map<String, Long> lost = new HashMap<>();
+    private final Map<String, Long> succeededByZone = new HashMap<>();
+    private final Map<String, Long> lostByZone = new HashMap<>();
 
-    /** A task that was placed in this zone runs. */
+    /** Records that an attempt in this zone has been reported as running. */
     void addSucceeded(String zone) {
-        succeeded.merge(zone, 1L, Long::sum);
+        succeededByZone.merge(zone, 1L, Long::sum);
     }
 
-    /** A task that was placed in this zone is gone and never ran. */
+    /** Records that an attempt in this zone has ended and was never reported as running. */
     void addLost(String zone) {
-        lost.merge(zone, 1L, Long::sum);
+        lostByZone.merge(zone, 1L, Long::sum);
     }
 
-    /** Starts in this zone that have succeeded. */
+    /** Returns the number of starts in this zone that have succeeded. */
     public long succeeded(String zone) {
-        return succeeded.getOrDefault(zone, 0L);
+        return succeededByZone.getOrDefault(zone, 0L);
     }
 
-    /** Starts in this zone that came to nothing. */
+    /** Returns the number of attempts in this zone that ended without ever running. */
     public long lost(String zone) {
-        return lost.getOrDefault(zone, 0L);
+        return lostByZone.getOrDefault(zone, 0L);
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/package-info.java
+++ b/src/main/java/org/mountlug/core/cluster/package-info.java
@@ -1,2 +1,2 @@
-/** The leader's picture of jobs, machines and what each attempt's state has been proven to be. */
+/** The leader's view of jobs and machines, and of what is proven about the state of each attempt. */
 package org.mountlug.core.cluster;
