--- a/src/main/java/org/mountlug/core/cluster/Cluster.java
+++ b/src/main/java/org/mountlug/core/cluster/Cluster.java
@@ -452,8 +452,8 @@
     }
 
     /** Whether reports of the machine must stay without a response, so that its worker lease expires. */
-    public boolean mustWithholdResponse(String machine, double nowS) {
-        return commandHandler.mustWithholdResponse(machine, nowS);
+    public boolean mustWithholdResponse(String machineName, double nowS) {
+        return commandHandler.mustWithholdResponse(machineName, nowS);
     }
 
     /** Turns standby placements whose capacity is free into ordinary ones, and drops those that have waited too long. */
--- a/src/main/java/org/mountlug/core/model/FailureHistory.java
+++ b/src/main/java/org/mountlug/core/model/FailureHistory.java
@@ -27,8 +27,8 @@
     }
 
     /** Records the failure of a task; tasks of a gang that fail in the same attempt count as one failed attempt. */
-    public void recordFailure(String machine, long attempt) {
-        failedMachines.add(machine);
+    public void recordFailure(String machineName, long attempt) {
+        failedMachines.add(machineName);
         if (attempt != lastFailedAttempt) {
             lastFailedAttempt = attempt;
             failedAttempts++;
