--- a/src/test/java/org/mountlug/Fixtures.java
+++ b/src/test/java/org/mountlug/Fixtures.java
@@ -20,7 +20,7 @@
 import org.mountlug.core.zone.ZoneMonitor;
 import org.mountlug.core.zone.ZoneSettings;
 
-/** Small worlds for the tests. */
+/** Small clusters, machines, jobs and reports for the tests. */
 public final class Fixtures {
     public static final long TOKEN = 7;
     public static final MachineType SMALL_TYPE =
@@ -30,120 +30,144 @@
 
     private Fixtures() {}
 
-    /** A cluster of a leader with token 7 that knows the sample machine types and these teams. */
+    /** Creates a leader's cluster with {@link #TOKEN}, the sample machine types and these teams, or else the team "t". */
     public static Cluster cluster(Team... teams) {
-        Cluster c = new Cluster(
+        Cluster cluster = new Cluster(
                 TOKEN, 10, teams.length == 0 ? List.of(new Team("t", 0, 0, 0, 0, 1)) : Arrays.asList(teams));
-        c.setMachineTypes(List.of(SMALL_TYPE, GPU_TYPE));
-        return c;
+        cluster.setMachineTypes(List.of(SMALL_TYPE, GPU_TYPE));
+        return cluster;
     }
 
-    /** Zones that are not tracked. */
-    public static ZoneMonitor untrackedZones(Cluster c) {
-        return new ZoneMonitor(c, ZoneSettings.disabled(), 10, 2);
+    /** Creates a zone monitor that does not track zones. */
+    public static ZoneMonitor untrackedZones(Cluster cluster) {
+        return new ZoneMonitor(cluster, ZoneSettings.disabled(), 10, 2);
     }
 
-    /** A job of tasks that all need the same, run as a gang or as an array. */
-    public static JobSpec spec(String id, boolean gang, int tasks, Resources need, Priority u) {
-        return spec(id, gang ? JobType.GANG : JobType.ARRAY, tasks, need, u);
+    /** Creates the specification of a gang or an array. */
+    public static JobSpec spec(String id, boolean gang, int tasks, Resources request, Priority priority) {
+        return spec(id, gang ? JobType.GANG : JobType.ARRAY, tasks, request, priority);
     }
 
-    /** A job of tasks that all need the same, in the given shape. */
-    public static JobSpec spec(String id, JobType shape, int tasks, Resources need, Priority u) {
+    /** Creates the specification of a job of this type. */
+    public static JobSpec spec(String id, JobType jobType, int tasks, Resources request, Priority priority) {
         return new JobSpecBuilder(id)
-                .jobType(shape)
+                .jobType(jobType)
                 .tasks(tasks)
-                .request(need)
-                .priority(u)
+                .request(request)
+                .priority(priority)
                 .build();
     }
 
-    /** An array of small tasks. */
+    /** Creates the specification of an array whose tasks request 2 CPUs and 8 GB of memory each. */
     public static JobSpec array(String id, int tasks) {
         return spec(id, false, tasks, new Resources(2, 0, 8), Priority.STANDARD);
     }
 
-    /** The same job with other rules about the zones of its tasks. */
-    public static JobSpec withZoneRules(JobSpec s, boolean oneZone, boolean apart) {
-        return JobSpecBuilder.of(s).zoneRules(oneZone, apart).build();
+    /** Returns a copy of the specification with other zone rules. */
+    public static JobSpec withZoneRules(JobSpec spec, boolean oneZone, boolean spreadAcrossZones) {
+        return JobSpecBuilder.of(spec).zoneRules(oneZone, spreadAcrossZones).build();
     }
 
-    /** The same job bound to a zone. */
-    public static JobSpec withZone(JobSpec s, String zone) {
-        return JobSpecBuilder.of(s).zone(zone).build();
+    /** Returns a copy of the specification whose tasks may run only in this zone. */
+    public static JobSpec withZone(JobSpec spec, String zone) {
+        return JobSpecBuilder.of(spec).zone(zone).build();
     }
 
-    /** The same job with another run time to expect and other checkpoints, 0 for none. */
-    public static JobSpec withRunTimes(JobSpec s, double expectedS, double checkpointS) {
-        return JobSpecBuilder.of(s).runTimes(expectedS, checkpointS).build();
+    /** Returns a copy of the specification with another expected run time and checkpoint interval, 0 for no checkpoints. */
+    public static JobSpec withRunTimes(JobSpec spec, double expectedRunS, double checkpointIntervalS) {
+        return JobSpecBuilder.of(spec)
+                .runTimes(expectedRunS, checkpointIntervalS)
+                .build();
     }
 
-    /** The placement's machine reports it running. */
-    public static void reportRunning(Cluster c, Placement p, double nowS) {
-        p.job.markPersisted();
-        Machine m = c.machines.get(p.machine);
-        Report.AttemptStatus[] items = m.placements.values().stream()
-                .filter(q -> q == p || q.reported)
-                .map(q -> attemptStatus(q.job.spec.id(), q.task, q.attempt, AttemptState.RUNNING, ExitCause.NONE))
+    /** Sends a report in which the placement and all placements reported earlier on its machine are running. */
+    public static void reportRunning(Cluster cluster, Placement placement, double nowS) {
+        placement.job.markPersisted();
+        Machine machine = cluster.machines.get(placement.machine);
+        Report.AttemptStatus[] attempts = machine.placements.values().stream()
+                .filter(other -> other == placement || other.reported)
+                .map(other -> attemptStatus(
+                        other.job.spec.id(), other.task, other.attempt, AttemptState.RUNNING, ExitCause.NONE))
                 .toArray(Report.AttemptStatus[]::new);
-        c.handleReport(report(m.name, m.type.name(), m.zone, m.session, m.sequence + 1, TOKEN, items), true, nowS);
-    }
-
-    /** The same job of another class and team, submitted at another time. */
-    public static JobSpec withClassAndTeam(JobSpec s, String lane, String team, long submittedMs) {
-        return JobSpecBuilder.of(s)
-                .jobClass(lane)
+        cluster.handleReport(
+                report(
+                        machine.name,
+                        machine.type.name(),
+                        machine.zone,
+                        machine.session,
+                        machine.sequence + 1,
+                        TOKEN,
+                        attempts),
+                true,
+                nowS);
+    }
+
+    /** Returns a copy of the specification with another job class, team and submission time. */
+    public static JobSpec withClassAndTeam(JobSpec spec, String jobClass, String team, long submittedMs) {
+        return JobSpecBuilder.of(spec)
+                .jobClass(jobClass)
                 .team(team)
                 .submittedMs(submittedMs)
                 .build();
     }
 
-    /** Takes the job in as one that the state service holds. */
-    public static Job addJob(Cluster c, JobSpec s) {
-        Job j = new Job(s);
-        j.revision = 1;
-        c.loadJob(j, 0);
-        return j;
+    /** Loads a job as one that the state service holds at revision 1. */
+    public static Job addJob(Cluster cluster, JobSpec spec) {
+        Job job = new Job(spec);
+        job.revision = 1;
+        cluster.loadJob(job, 0);
+        return job;
     }
 
-    /** A report of a sample machine that shows these tasks. */
+    /** Creates a report of an on-demand machine with these attempts. */
     public static Report report(
-            String machine,
-            String type,
+            String machineName,
+            String machineType,
             String zone,
             long session,
-            long seq,
+            long sequence,
             long token,
-            Report.AttemptStatus... items) {
-        return new Report(machine, "10.0.0.9:1", type, zone, false, session, seq, token, Double.NaN, List.of(items));
-    }
-
-    /** One attempt as a report shows it. */
-    public static Report.AttemptStatus attemptStatus(String job, int task, long attempt, AttemptState s, ExitCause c) {
-        return new Report.AttemptStatus(job, task, attempt, s, c, false);
-    }
-
-    /** A machine that is up and has seen our token. */
-    public static Machine addMachine(Cluster c, String name, String type, String zone) {
-        c.handleReport(report(name, type, zone, 1, 1, TOKEN), true, 0);
-        Machine m = c.machines.get(name);
-        m.lastResponseS = 0;
-        return m;
-    }
-
-    /** Marks everything decided as durable. */
+            Report.AttemptStatus... attempts) {
+        return new Report(
+                machineName,
+                "10.0.0.9:1",
+                machineType,
+                zone,
+                false,
+                session,
+                sequence,
+                token,
+                Double.NaN,
+                List.of(attempts));
+    }
+
+    /** Creates the status of an attempt that has saved nothing. */
+    public static Report.AttemptStatus attemptStatus(
+            String jobId, int task, long attempt, AttemptState state, ExitCause cause) {
+        return new Report.AttemptStatus(jobId, task, attempt, state, cause, false);
+    }
+
+    /** Adds a machine that has reported with {@link #TOKEN} and gets a response at time 0. */
+    public static Machine addMachine(Cluster cluster, String name, String machineType, String zone) {
+        cluster.handleReport(report(name, machineType, zone, 1, 1, TOKEN), true, 0);
+        Machine machine = cluster.machines.get(name);
+        machine.lastResponseS = 0;
+        return machine;
+    }
+
+    /** Marks all changes of the jobs as durable. */
     public static void markPersisted(Job... jobs) {
-        for (Job j : jobs) {
-            j.markPersisted();
+        for (Job job : jobs) {
+            job.markPersisted();
         }
     }
 
-    /** The orders in a short form that tests can compare. */
-    public static List<String> describe(List<Command> orders) {
-        List<String> l = new ArrayList<>();
-        for (Command o : orders) {
-            l.add(o.verb() + " " + o.taskName() + "#" + o.attempt());
+    /** Returns the commands in a short form for comparisons, such as {@code START wk-000001/0#1}. */
+    public static List<String> describe(List<Command> commands) {
+        List<String> descriptions = new ArrayList<>();
+        for (Command command : commands) {
+            descriptions.add(command.verb() + " " + command.taskName() + "#" + command.attempt());
         }
-        return l;
+        return descriptions;
     }
 }
--- a/src/test/java/org/mountlug/JobSpecBuilder.java
+++ b/src/test/java/org/mountlug/JobSpecBuilder.java
@@ -6,7 +6,7 @@
 import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
 
-/** Describes a job field by field, from what the tests' jobs have in common. */
+/** Builds a job specification for a test from defaults: an array of one small task. */
 public final class JobSpecBuilder {
     private final String id;
     private String jobClass = "lane";
@@ -15,21 +15,21 @@
     private Priority priority = Priority.STANDARD;
     private int tasks = 1;
     private Resources request = new Resources(2, 0, 8);
-    private List<String> types;
+    private List<String> machineTypes;
     private String zone;
     private boolean oneZone;
     private boolean spreadAcrossZones;
-    private double expectedS = 30;
-    private double checkpointS = 15;
+    private double expectedRunS = 30;
+    private double checkpointIntervalS = 15;
     private double deadlineS = Double.NaN;
     private long submittedMs;
 
-    /** Begins with a job of one small task. */
+    /** Creates a builder with the default values. */
     public JobSpecBuilder(String id) {
         this.id = id;
     }
 
-    /** Begins with what another job has, under the same id. */
+    /** Creates a builder with the id and the values of another specification. */
     public static JobSpecBuilder of(JobSpec spec) {
         JobSpecBuilder builder = new JobSpecBuilder(spec.id())
                 .jobClass(spec.jobClass())
@@ -42,74 +42,74 @@
                 .zoneRules(spec.oneZone(), spec.spreadAcrossZones())
                 .runTimes(spec.expectedRunS(), spec.checkpointIntervalS())
                 .submittedMs(spec.submittedMs());
-        builder.types = spec.machineTypes();
+        builder.machineTypes = spec.machineTypes();
         builder.deadlineS = spec.deadlineS();
         return builder;
     }
 
-    /** Its class. */
+    /** Sets the job class. */
     public JobSpecBuilder jobClass(String value) {
         jobClass = value;
         return this;
     }
 
-    /** Its team. */
+    /** Sets the name of the team. */
     public JobSpecBuilder team(String value) {
         team = value;
         return this;
     }
 
-    /** Its shape. */
+    /** Sets the job type. */
     public JobSpecBuilder jobType(JobType value) {
         jobType = value;
         return this;
     }
 
-    /** Its priority. */
+    /** Sets the priority. */
     public JobSpecBuilder priority(Priority value) {
         priority = value;
         return this;
     }
 
-    /** How many tasks it has. */
+    /** Sets the number of tasks. */
     public JobSpecBuilder tasks(int value) {
         tasks = value;
         return this;
     }
 
-    /** What each task takes. */
+    /** Sets the resource request of each task. */
     public JobSpecBuilder request(Resources value) {
         request = value;
         return this;
     }
 
-    /** The only zone that it may run in, null for any. */
+    /** Sets the only zone that the tasks may run in, null for any. */
     public JobSpecBuilder zone(String value) {
         zone = value;
         return this;
     }
 
-    /** Whether all its tasks must be in one zone, or at most half of them may be. */
-    public JobSpecBuilder zoneRules(boolean inOneZone, boolean keptApart) {
-        oneZone = inOneZone;
-        spreadAcrossZones = keptApart;
+    /** Sets whether all tasks must run in the same zone, and whether at most half of them may run in the same zone. */
+    public JobSpecBuilder zoneRules(boolean allInOneZone, boolean spread) {
+        oneZone = allInOneZone;
+        spreadAcrossZones = spread;
         return this;
     }
 
-    /** The run time to expect, and after how many seconds it saves, 0 for never. */
-    public JobSpecBuilder runTimes(double runS, double everyS) {
-        expectedS = runS;
-        checkpointS = everyS;
+    /** Sets the expected run time and the checkpoint interval in seconds, 0 for no checkpoints. */
+    public JobSpecBuilder runTimes(double runTimeS, double checkpointEveryS) {
+        expectedRunS = runTimeS;
+        checkpointIntervalS = checkpointEveryS;
         return this;
     }
 
-    /** When it was submitted. */
+    /** Sets the epoch time of the submission in milliseconds. */
     public JobSpecBuilder submittedMs(long value) {
         submittedMs = value;
         return this;
     }
 
-    /** The job as described. */
+    /** Returns the specification. */
     public JobSpec build() {
         return new JobSpec(
                 id,
@@ -119,15 +119,15 @@
                 priority,
                 tasks,
                 request,
-                types,
+                machineTypes,
                 zone,
                 oneZone,
                 spreadAcrossZones,
                 true,
                 "img",
                 1,
-                expectedS,
-                checkpointS,
+                expectedRunS,
+                checkpointIntervalS,
                 3,
                 deadlineS,
                 submittedMs);
--- a/src/test/java/org/mountlug/core/AttemptTerminationTest.java
+++ b/src/test/java/org/mountlug/core/AttemptTerminationTest.java
@@ -24,50 +24,57 @@
 import org.mountlug.core.model.Resources;
 import org.mountlug.core.scale.ListedMachine;
 
-/** A task leaves its place only with a proof: each case guards against a task running twice or after its abort. */
+/**
+ * A placement may be removed only once it is proven that its attempt has ended. Each test guards against a task that runs
+ * twice or runs on after its cancellation because the leader removed the placement too early.
+ */
 class AttemptTerminationTest {
-    private final Cluster c = Fixtures.cluster();
-    private final Machine m = Fixtures.addMachine(c, "n-1", "small", "a");
-    private final Job j = Fixtures.addJob(c, Fixtures.array("wk-000001", 2));
+    private final Cluster cluster = Fixtures.cluster();
+    private final Machine machine = Fixtures.addMachine(cluster, "n-1", "small", "a");
+    private final Job job = Fixtures.addJob(cluster, Fixtures.array("wk-000001", 2));
 
-    private void place() {
-        c.place(j, 0, ++j.lastAttempt, m, 0);
-        j.markChanged(0, true);
+    private void placeFirstTask() {
+        cluster.place(job, 0, ++job.lastAttempt, machine, 0);
+        job.markChanged(0, true);
     }
 
-    private List<String> sendReport(long session, long seq, Report.AttemptStatus... items) {
-        return Fixtures.describe(c.handleReport(report("n-1", "small", "a", session, seq, TOKEN, items), true, seq));
+    private List<String> sendReport(long session, long sequence, Report.AttemptStatus... attempts) {
+        return Fixtures.describe(
+                cluster.handleReport(report("n-1", "small", "a", session, sequence, TOKEN, attempts), true, sequence));
     }
 
     @Test
-    void startLeavesOnlyOnceDurable() {
-        place();
+    void startIsSentOnlyOncePlacementIsDurable() {
+        placeFirstTask();
         assertEquals(List.of(), sendReport(1, 2));
-        Fixtures.markPersisted(j);
+        Fixtures.markPersisted(job);
         assertEquals(List.of("START wk-000001/0#1"), sendReport(1, 3));
     }
 
     @Test
-    void startThatANewerReportLacksGoesOutAgainAndKeepsItsPlace() {
-        place();
-        Fixtures.markPersisted(j);
+    void startMissingInNewerReportIsSentAgainAndKeepsItsPlacement() {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 2);
         assertEquals(List.of("START wk-000001/0#1"), sendReport(1, 3));
-        assertEquals(1, j.placements.size());
+        assertEquals(1, job.placements.size());
     }
 
     @Test
-    void aReportHeldBackOnItsWayProvesNothing() {
-        place();
-        Fixtures.markPersisted(j);
+    void delayedReportProvesNothing() {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 5);
         sendReport(1, 6, attemptStatus("wk-000001", 0, 1, AttemptState.RUNNING, ExitCause.NONE));
         assertEquals(List.of(), sendReport(1, 4));
-        assertEquals(1, j.placements.size());
+        assertEquals(1, job.placements.size());
     }
 
-    /** Whoever answers renews the lease, so what is cancelled stops with the first answer, whatever token came before. */
-    @ParameterizedTest(name = "token {0} below ours, attempt {1}, {2}, cancelled {3}")
+    /**
+     * Every response renews the worker lease, so a cancelled task must be stopped with the first response, even if the
+     * report carries the token of an earlier term.
+     */
+    @ParameterizedTest(name = "token lower by {0}, attempt {1}, {2}, cancelled {3}")
     @CsvSource({
         "1, 1, RUNNING, true, STOP",
         "1, 1, WAITING_FOR_GANG, true, STOP",
@@ -76,22 +83,22 @@
         "1, 1, RUNNING, false, ''",
         "0, 1, RUNNING, true, STOP"
     })
-    void aCancelledTaskStopsWithTheFirstAnswer(
-            int below, long attempt, AttemptState state, boolean cancelled, String order) {
-        place();
-        Fixtures.markPersisted(j);
-        j.placements.get(0).reported = true;
+    void cancelledTaskIsStoppedWithTheFirstResponse(
+            int tokenLag, long attempt, AttemptState state, boolean cancelled, String expectedVerb) {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
+        job.placements.get(0).reported = true;
         if (cancelled) {
-            c.applyCancellation(j, 1);
+            cluster.applyCancellation(job, 1);
         }
-        List<Command> o = c.handleReport(
+        List<Command> commands = cluster.handleReport(
                 report(
                         "n-1",
                         "small",
                         "a",
                         1,
                         9,
-                        TOKEN - below,
+                        TOKEN - tokenLag,
                         attemptStatus(
                                 "wk-000001",
                                 0,
@@ -100,18 +107,21 @@
                                 state == AttemptState.EXITED ? ExitCause.ERROR : ExitCause.NONE)),
                 true,
                 3);
-        assertEquals(order.isEmpty() ? List.of() : List.of("STOP wk-000001/0#1"), Fixtures.describe(o));
+        assertEquals(expectedVerb.isEmpty() ? List.of() : List.of("STOP wk-000001/0#1"), Fixtures.describe(commands));
     }
 
-    /** A report that direct orders' answer has overtaken may be the one its worker waits for: its answer renews the lease. */
+    /**
+     * The worker may still wait for the response to a report that the response to a direct command has overtaken. That
+     * response renews the worker lease, so it must count when the leader computes the end of the lease.
+     */
     @ParameterizedTest(name = "sequence {0} of session {1}")
     @CsvSource({"5, 1, true", "4, 1, false", "3, 1, false", "5, 0, false"})
-    void anOvertakenReportCountsAsAnswered(long sequence, long session, boolean counts) {
-        place();
-        Fixtures.markPersisted(j);
+    void responseToOvertakenReportRenewsTheLease(long sequence, long session, boolean renewsLease) {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 4, attemptStatus("wk-000001", 0, 1, AttemptState.RUNNING, ExitCause.NONE));
-        c.recordCommandResponse(
-                m,
+        cluster.recordCommandResponse(
+                machine,
                 report(
                         "n-1",
                         "small",
@@ -122,111 +132,113 @@
                         attemptStatus("wk-000001", 0, 1, AttemptState.RUNNING, ExitCause.NONE)),
                 List.of(),
                 4.5);
-        double before = m.lastResponseS;
-        c.handleReport(report("n-1", "small", "a", session, sequence, TOKEN), true, 7);
-        assertEquals(counts ? 7 : before, m.lastResponseS);
-        assertEquals(1, j.placements.size());
+        double previousResponseS = machine.lastResponseS;
+        cluster.handleReport(report("n-1", "small", "a", session, sequence, TOKEN), true, 7);
+        assertEquals(renewsLease ? 7 : previousResponseS, machine.lastResponseS);
+        assertEquals(1, job.placements.size());
     }
 
     @Test
-    void aReportUnderAnOlderTokenProvesNothing() {
-        place();
-        Fixtures.markPersisted(j);
-        List<Command> o = c.handleReport(report("n-1", "small", "a", 2, 9, TOKEN - 1), true, 3);
-        assertEquals(List.of(), o);
-        assertEquals(1, j.placements.size());
-        assertFalse(m.tokenConfirmed);
+    void reportWithAnOlderTokenProvesNothing() {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
+        List<Command> commands = cluster.handleReport(report("n-1", "small", "a", 2, 9, TOKEN - 1), true, 3);
+        assertEquals(List.of(), commands);
+        assertEquals(1, job.placements.size());
+        assertFalse(machine.tokenConfirmed);
     }
 
     @Test
-    void aReportUnderAHigherTokenDeposes() {
-        assertNull(c.handleReport(report("n-1", "small", "a", 1, 9, TOKEN + 1), true, 3));
+    void reportWithAHigherTokenDeposesTheLeader() {
+        assertNull(cluster.handleReport(report("n-1", "small", "a", 1, 9, TOKEN + 1), true, 3));
     }
 
     @Test
-    void aLaterSessionIsAProof() {
-        place();
-        Fixtures.markPersisted(j);
+    void laterSessionProvesThatTheAttemptEnded() {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 2);
         sendReport(2, 3);
-        assertTrue(j.placements.isEmpty());
+        assertTrue(job.placements.isEmpty());
     }
 
-    @ParameterizedTest(name = "answered {0} s ago, synced {1}: gone {2}")
+    @ParameterizedTest(name = "last response {0} s ago, token confirmed {1}: ended {2}")
     @CsvSource({"9, true, false", "10.2, true, false", "11, true, true", "11, false, false", "60, false, false"})
-    void leaseIsAProofOnlyUnderOurTokenAndWithDrift(double ago, boolean synced, boolean gone) {
-        place();
-        m.lastResponseS = 100;
-        m.tokenConfirmed = synced;
-        c.expireLeases(100 + ago);
-        assertEquals(gone, j.placements.isEmpty());
+    void expiredLeaseIsAProofOnlyWithConfirmedTokenAndDriftMargin(
+            double sinceResponseS, boolean tokenConfirmed, boolean ended) {
+        placeFirstTask();
+        machine.lastResponseS = 100;
+        machine.tokenConfirmed = tokenConfirmed;
+        cluster.expireLeases(100 + sinceResponseS);
+        assertEquals(ended, job.placements.isEmpty());
     }
 
     @Test
-    void theListProvesOnlyFailures() {
-        place();
-        c.applyMachineList(List.of(), 10, 50);
-        assertEquals(1, j.placements.size());
-        c.applyMachineList(
+    void machineListProvesOnlyFailures() {
+        placeFirstTask();
+        cluster.applyMachineList(List.of(), 10, 50);
+        assertEquals(1, job.placements.size());
+        cluster.applyMachineList(
                 List.of(new ListedMachine("n-1", "x", "small", "a", false, ListedMachine.Status.FAILED, 9)), 10, 51);
-        assertTrue(j.placements.isEmpty());
+        assertTrue(job.placements.isEmpty());
     }
 
-    /** The list lags and may be older than the one before, but what it has shown it shows until that is gone. */
-    @ParameterizedTest(name = "listed at {0}, missing at {1}: unlisted {2}")
+    /** The machine list lags and may be older than the one before, but it shows a machine until the machine is gone. */
+    @ParameterizedTest(name = "listed at {0} s, missing at {1} s: unlisted {2}")
     @CsvSource({"0, 15, false", "0, 21, true", "-1, 60, false"})
-    void aMachineIsUnlistedOnlyAfterTheLag(double listed, double missing, boolean unlisted) {
-        if (listed >= 0) {
-            c.applyMachineList(
+    void machineIsUnlistedOnlyAfterTheListLag(double listedAtS, double missingAtS, boolean unlisted) {
+        if (listedAtS >= 0) {
+            cluster.applyMachineList(
                     List.of(new ListedMachine("n-1", "x", "small", "a", false, ListedMachine.Status.RUNNING, 9)),
                     10,
-                    listed);
+                    listedAtS);
         }
-        c.applyMachineList(List.of(), 10, missing);
-        assertEquals(unlisted, m.unlisted);
+        cluster.applyMachineList(List.of(), 10, missingAtS);
+        assertEquals(unlisted, machine.unlisted);
     }
 
     @Test
-    void forgetWaitsUntilTheOutcomeIsDurable() {
-        place();
-        Fixtures.markPersisted(j);
+    void forgetIsSentOnlyOnceTheOutcomeIsDurable() {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 2);
         Report.AttemptStatus done = attemptStatus("wk-000001", 0, 1, AttemptState.EXITED, ExitCause.DONE);
         assertEquals(List.of(), sendReport(1, 3, done));
-        assertTrue(j.doneTasks.get(0));
+        assertTrue(job.doneTasks.get(0));
         assertEquals(List.of(), sendReport(1, 4, done));
-        Fixtures.markPersisted(j);
+        Fixtures.markPersisted(job);
         assertEquals(List.of("FORGET wk-000001/0#1"), sendReport(1, 5, done));
     }
 
     @Test
-    void abortStopsWhatWasSentAndDropsWhatWasNot() {
-        place();
-        Fixtures.markPersisted(j);
+    void cancellationStopsSentStartsAndDropsUnsentOnes() {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 2);
-        c.place(j, 1, ++j.lastAttempt, m, 2);
-        j.markChanged(2, true);
-        c.applyCancellation(j, 3);
-        assertEquals(1, j.placements.size());
+        cluster.place(job, 1, ++job.lastAttempt, machine, 2);
+        job.markChanged(2, true);
+        cluster.applyCancellation(job, 3);
+        assertEquals(1, job.placements.size());
         assertEquals(
                 List.of("STOP wk-000001/0#1"),
                 sendReport(1, 3, attemptStatus("wk-000001", 0, 1, AttemptState.RUNNING, ExitCause.NONE)));
-        assertFalse(j.isFinished());
+        assertFalse(job.isFinished());
         sendReport(1, 4, attemptStatus("wk-000001", 0, 1, AttemptState.EXITED, ExitCause.STOPPED));
-        assertTrue(j.isFinished());
+        assertTrue(job.isFinished());
     }
 
     @Test
-    void aStandbyStartsInTheAnswerThatShowsItsRoomFreeAndNotBefore() {
-        Job big = Fixtures.addJob(
-                c, Fixtures.spec("wk-000002", false, 2, m.type.capacity(), org.mountlug.core.model.Priority.HIGH));
-        c.place(big, 0, ++big.lastAttempt, m, 0);
-        big.markChanged(0, true);
-        Fixtures.markPersisted(big);
+    void standbyStartsInTheResponseToTheReportThatFreesItsCapacity() {
+        Job fullMachineJob = Fixtures.addJob(
+                cluster,
+                Fixtures.spec("wk-000002", false, 2, machine.type.capacity(), org.mountlug.core.model.Priority.HIGH));
+        cluster.place(fullMachineJob, 0, ++fullMachineJob.lastAttempt, machine, 0);
+        fullMachineJob.markChanged(0, true);
+        Fixtures.markPersisted(fullMachineJob);
         sendReport(1, 2);
-        c.place(big, 1, ++big.lastAttempt, m, 2).standby = true;
-        big.markChanged(2, true);
-        Fixtures.markPersisted(big);
+        cluster.place(fullMachineJob, 1, ++fullMachineJob.lastAttempt, machine, 2).standby = true;
+        fullMachineJob.markChanged(2, true);
+        Fixtures.markPersisted(fullMachineJob);
         assertEquals(
                 List.of(), sendReport(1, 3, attemptStatus("wk-000002", 0, 1, AttemptState.RUNNING, ExitCause.NONE)));
         assertEquals(
@@ -235,140 +247,151 @@
     }
 
     @Test
-    void aStandbyThatWaitedTooLongGoesBackToItsQueue() {
-        Job big = Fixtures.addJob(
-                c, Fixtures.spec("wk-000002", false, 2, m.type.capacity(), org.mountlug.core.model.Priority.HIGH));
-        c.place(big, 0, ++big.lastAttempt, m, 0);
-        c.place(big, 1, ++big.lastAttempt, m, 0).standby = true;
-        c.updateStandbys(5);
-        assertEquals(2, big.placements.size());
-        c.updateStandbys(30);
-        assertEquals(1, big.placements.size());
+    void standbyThatWaitedTooLongIsDropped() {
+        Job fullMachineJob = Fixtures.addJob(
+                cluster,
+                Fixtures.spec("wk-000002", false, 2, machine.type.capacity(), org.mountlug.core.model.Priority.HIGH));
+        cluster.place(fullMachineJob, 0, ++fullMachineJob.lastAttempt, machine, 0);
+        cluster.place(fullMachineJob, 1, ++fullMachineJob.lastAttempt, machine, 0).standby = true;
+        cluster.updateStandbys(5);
+        assertEquals(2, fullMachineJob.placements.size());
+        cluster.updateStandbys(30);
+        assertEquals(1, fullMachineJob.placements.size());
     }
 
     @Test
-    void imagesOfAnEarlierTermAreExpectedOnceTheMachineIsHeardOf() {
-        c.setExpectedImages("n-5", List.of("img"));
-        assertEquals(java.util.Set.of("img"), Fixtures.addMachine(c, "n-5", "small", "a").cachedImages);
+    void imagesOfAnEarlierTermApplyOnceTheMachineReports() {
+        cluster.setExpectedImages("n-5", List.of("img"));
+        assertEquals(java.util.Set.of("img"), Fixtures.addMachine(cluster, "n-5", "small", "a").cachedImages);
     }
 
-    /** Found by a day of other luck: told cancelled, then the last task completed and the record said done. */
+    /**
+     * Guards against a final record that says done although the cancellation was acknowledged to the user. It happened when
+     * the last task completed between the acknowledgement and the stop.
+     */
     @Test
-    void aCancelledJobNeverEndsAsDone() {
-        j.doneTasks.set(1);
-        place();
-        Fixtures.markPersisted(j);
+    void cancelledJobNeverEndsAsDone() {
+        job.doneTasks.set(1);
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 2);
-        c.applyCancellation(j, 3);
+        cluster.applyCancellation(job, 3);
         sendReport(1, 3, attemptStatus("wk-000001", 0, 1, AttemptState.EXITED, ExitCause.DONE));
-        assertTrue(j.isComplete() && j.isFinished());
-        assertFalse(j.isDone());
+        assertTrue(job.isComplete() && job.isFinished());
+        assertFalse(job.isDone());
     }
 
     @Test
-    void whatNoRecordPlacesHereIsStoppedAndBlocksTheMachine() {
+    void orphanIsStoppedAndOccupiesTheMachine() {
         assertEquals(
                 List.of("STOP wk-000009/3#4"),
                 sendReport(1, 2, attemptStatus("wk-000009", 3, 4, AttemptState.RUNNING, ExitCause.NONE)));
-        assertFalse(m.isEmpty());
+        assertFalse(machine.isEmpty());
     }
 
     @Test
-    void aReturnedMachineDoesNotComeBackByALateReportOrTheLaggingList() {
-        c.recordMachineGone("n-1", 5, "returned");
+    void returnedMachineIsNotAddedAgainByLateReportOrMachineList() {
+        cluster.recordMachineGone("n-1", 5, "returned");
         sendReport(1, 9);
-        c.applyMachineList(
+        cluster.applyMachineList(
                 List.of(new ListedMachine("n-1", "x", "small", "a", false, ListedMachine.Status.RUNNING, 9)), 10, 6);
-        assertTrue(c.machines.isEmpty());
+        assertTrue(cluster.machines.isEmpty());
     }
 
     @Test
-    void aFinishedJobIsNotBroughtBackByALateWatch() {
-        c.removeFinishedJob(j, 50);
-        Job late = new Job(j.spec);
-        late.revision = 49;
-        c.loadJob(late, 6);
-        assertTrue(c.jobs.isEmpty());
+    void finishedJobIsNotLoadedAgainByADelayedWatch() {
+        cluster.removeFinishedJob(job, 50);
+        Job outdated = new Job(job.spec);
+        outdated.revision = 49;
+        cluster.loadJob(outdated, 6);
+        assertTrue(cluster.jobs.isEmpty());
     }
 
     @Test
-    void aJobThatFailsEverywhereCondemnsNoMachineButASickMachineIsFound() {
-        Job other = Fixtures.addJob(c, Fixtures.array("wk-000002", 4));
-        for (int n = 0; n < 3; n++) {
-            fail(j, 0, 10 + 2 * n);
+    void machineIsQuarantinedOnlyAfterFailuresOfDifferentJobs() {
+        Job other = Fixtures.addJob(cluster, Fixtures.array("wk-000002", 4));
+        for (int i = 0; i < 3; i++) {
+            reportFailedAttempt(job, 0, 10 + 2 * i);
         }
-        assertFalse(m.quarantined);
-        fail(other, 0, 30);
-        assertTrue(m.quarantined);
+        assertFalse(machine.quarantined);
+        reportFailedAttempt(other, 0, 30);
+        assertTrue(machine.quarantined);
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource({"risen session", "lease ran out", "starts ignored"})
-    void aMachineThatMayNotHearGetsNoWorkUntilItStays(String sign) {
-        assertTrue(m.isSchedulable());
-        switch (sign) {
-            case "risen session" -> sendReport(2, 2);
-            case "lease ran out" -> c.expireLeases(20);
+    @CsvSource({"new session", "lease expired", "starts ignored"})
+    void unreachableMachineGetsNoWorkUntilConsecutiveReports(String cause) {
+        assertTrue(machine.isSchedulable());
+        switch (cause) {
+            case "new session" -> sendReport(2, 2);
+            case "lease expired" -> cluster.expireLeases(20);
             default -> {
-                place();
-                Fixtures.markPersisted(j);
-                for (int seq = 2; seq <= 4; seq++) {
-                    sendReport(1, seq);
+                placeFirstTask();
+                Fixtures.markPersisted(job);
+                for (int sequence = 2; sequence <= 4; sequence++) {
+                    sendReport(1, sequence);
                 }
-                assertTrue(j.placements.isEmpty(), "a start ignored twice never ran");
+                assertTrue(job.placements.isEmpty(), "the attempt ends after two ignored starts");
             }
         }
-        assertFalse(m.isSchedulable());
-        long s = m.session;
-        c.handleReport(report("n-1", "small", "a", s, 40, TOKEN), true, 40);
-        assertFalse(m.isSchedulable(), "a report after others may have gone to other nodes in between");
-        c.handleReport(report("n-1", "small", "a", s, 41, TOKEN), true, 46);
-        assertFalse(m.isSchedulable(), "one that comes after a give-up shows no hearing");
-        c.handleReport(report("n-1", "small", "a", s, 42, TOKEN), true, 48);
-        assertTrue(m.isSchedulable());
+        assertFalse(machine.isSchedulable());
+        long session = machine.session;
+        cluster.handleReport(report("n-1", "small", "a", session, 40, TOKEN), true, 40);
+        assertFalse(machine.isSchedulable(), "reports in between may have gone to other controllers");
+        cluster.handleReport(report("n-1", "small", "a", session, 41, TOKEN), true, 46);
+        assertFalse(machine.isSchedulable(), "a report after a response timeout does not show that responses arrive");
+        cluster.handleReport(report("n-1", "small", "a", session, 42, TOKEN), true, 48);
+        assertTrue(machine.isSchedulable());
     }
 
     @Test
-    void aStartAtLargeIsNeitherProvenGoneNorForgottenUntilItsSessionEnds() {
-        Job g = Fixtures.addJob(c, Fixtures.spec("wk-000003", true, 1, new Resources(1, 0, 1), Priority.HIGH));
-        c.place(g, 0, ++g.lastAttempt, m, 0);
-        g.markChanged(0, true);
-        assertEquals(List.of(), c.takeDirectCommands(m, true, false, 1), "not before it is durable");
-        Fixtures.markPersisted(g);
-        assertEquals(List.of("START wk-000003/0#1"), Fixtures.describe(c.takeDirectCommands(m, true, false, 1)));
-        c.applyCancellation(g, 2);
+    void unconfirmedStartKeepsItsPlacementUntilTheSessionEnds() {
+        Job gang = Fixtures.addJob(cluster, Fixtures.spec("wk-000003", true, 1, new Resources(1, 0, 1), Priority.HIGH));
+        cluster.place(gang, 0, ++gang.lastAttempt, machine, 0);
+        gang.markChanged(0, true);
+        assertEquals(
+                List.of(),
+                cluster.takeDirectCommands(machine, true, false, 1),
+                "no start is sent before the placement is durable");
+        Fixtures.markPersisted(gang);
+        assertEquals(
+                List.of("START wk-000003/0#1"), Fixtures.describe(cluster.takeDirectCommands(machine, true, false, 1)));
+        cluster.applyCancellation(gang, 2);
         sendReport(1, 2);
         sendReport(1, 3);
-        assertEquals(1, g.placements.size(), "it may come yet");
-        assertFalse(c.mustWithholdResponse("n-1", 3));
-        assertTrue(c.mustWithholdResponse("n-1", 7), "only without a lease does it become impossible");
+        assertEquals(1, gang.placements.size(), "the unconfirmed start may still take effect");
+        assertFalse(cluster.mustWithholdResponse("n-1", 3));
+        assertTrue(
+                cluster.mustWithholdResponse("n-1", 7),
+                "the start becomes impossible only once the worker lease expires");
         sendReport(2, 4);
-        assertTrue(g.placements.isEmpty());
+        assertTrue(gang.placements.isEmpty());
     }
 
     @Test
-    void aStartAtLargeThatRanIsNotForgotten() {
-        Job g = Fixtures.addJob(c, Fixtures.spec("wk-000003", true, 1, new Resources(1, 0, 1), Priority.HIGH));
-        c.place(g, 0, ++g.lastAttempt, m, 0);
-        g.markChanged(0, true);
-        Fixtures.markPersisted(g);
-        c.takeDirectCommands(m, true, false, 1);
+    void attemptWithUnconfirmedStartIsNotForgotten() {
+        Job gang = Fixtures.addJob(cluster, Fixtures.spec("wk-000003", true, 1, new Resources(1, 0, 1), Priority.HIGH));
+        cluster.place(gang, 0, ++gang.lastAttempt, machine, 0);
+        gang.markChanged(0, true);
+        Fixtures.markPersisted(gang);
+        cluster.takeDirectCommands(machine, true, false, 1);
         Report.AttemptStatus done = attemptStatus("wk-000003", 0, 1, AttemptState.EXITED, ExitCause.DONE);
         sendReport(1, 2, done);
-        Fixtures.markPersisted(g);
+        Fixtures.markPersisted(gang);
         assertEquals(List.of(), sendReport(1, 3, done));
-        assertFalse(c.mustWithholdResponse("n-1", 60));
+        assertFalse(cluster.mustWithholdResponse("n-1", 60));
     }
 
-    @ParameterizedTest(name = "carried out {0}: absent from a report that was older, in place {1}")
+    /** A report that was sent before the response to a direct command lacks the attempt, which proves nothing about it. */
+    @ParameterizedTest(name = "command executed {0}")
     @CsvSource({"true", "false"})
-    void whatCameBackFromAnOrderIsNewerThanAReportSentBefore(boolean carriedOut) {
-        Job g = Fixtures.addJob(c, Fixtures.spec("wk-000003", true, 1, new Resources(1, 0, 1), Priority.HIGH));
-        c.place(g, 0, ++g.lastAttempt, m, 0);
-        g.markChanged(0, true);
-        Fixtures.markPersisted(g);
-        List<Command> o = c.takeDirectCommands(m, true, false, 1);
-        Report back = report(
+    void responseToDirectCommandOvertakesAnOlderReport(boolean executed) {
+        Job gang = Fixtures.addJob(cluster, Fixtures.spec("wk-000003", true, 1, new Resources(1, 0, 1), Priority.HIGH));
+        cluster.place(gang, 0, ++gang.lastAttempt, machine, 0);
+        gang.markChanged(0, true);
+        Fixtures.markPersisted(gang);
+        List<Command> commands = cluster.takeDirectCommands(machine, true, false, 1);
+        Report commandResponse = report(
                 "n-1",
                 "small",
                 "a",
@@ -376,38 +399,44 @@
                 8,
                 TOKEN,
                 attemptStatus("wk-000003", 0, 1, AttemptState.FETCHING, ExitCause.NONE));
-        if (carriedOut) {
-            c.recordCommandResponse(m, back, o, 1);
+        if (executed) {
+            cluster.recordCommandResponse(machine, commandResponse, commands, 1);
         } else {
-            c.recordRefusedCommands(m, 1, o);
+            cluster.recordRefusedCommands(machine, 1, commands);
         }
-        assertEquals(carriedOut ? List.of() : List.of("START wk-000003/0#1"), sendReport(1, 7));
-        assertEquals(1, g.placements.size());
-        assertEquals(List.of(), c.takeDirectCommands(m, true, false, 2), "refused once, it goes out in answers only");
+        assertEquals(executed ? List.of() : List.of("START wk-000003/0#1"), sendReport(1, 7));
+        assertEquals(1, gang.placements.size());
+        assertEquals(
+                List.of(),
+                cluster.takeDirectCommands(machine, true, false, 2),
+                "a start that was sent directly once is sent again only in responses");
     }
 
     @Test
-    void aStopGoesStraightOnceAndThenWithAnswers() {
-        place();
-        Fixtures.markPersisted(j);
+    void stopIsSentDirectlyOnceAndThenInResponses() {
+        placeFirstTask();
+        Fixtures.markPersisted(job);
         sendReport(1, 2);
         sendReport(1, 3, attemptStatus("wk-000001", 0, 1, AttemptState.RUNNING, ExitCause.NONE));
-        c.applyCancellation(j, 3);
-        List<Command> o = c.takeDirectCommands(m, true, false, 3);
-        assertEquals(List.of("STOP wk-000001/0#1"), Fixtures.describe(o));
-        c.recordRefusedCommands(m, 1, o);
-        assertEquals(List.of(), c.takeDirectCommands(m, true, false, 4));
+        cluster.applyCancellation(job, 3);
+        List<Command> commands = cluster.takeDirectCommands(machine, true, false, 3);
+        assertEquals(List.of("STOP wk-000001/0#1"), Fixtures.describe(commands));
+        cluster.recordRefusedCommands(machine, 1, commands);
+        assertEquals(List.of(), cluster.takeDirectCommands(machine, true, false, 4));
         assertEquals(
                 List.of("STOP wk-000001/0#1"),
                 sendReport(1, 4, attemptStatus("wk-000001", 0, 1, AttemptState.RUNNING, ExitCause.NONE)));
     }
 
-    private void fail(Job job, int task, long seq) {
-        c.place(job, task, ++job.lastAttempt, m, seq);
-        job.markChanged(seq, true);
-        Fixtures.markPersisted(job);
-        sendReport(1, seq);
+    private void reportFailedAttempt(Job failingJob, int task, long sequence) {
+        cluster.place(failingJob, task, ++failingJob.lastAttempt, machine, sequence);
+        failingJob.markChanged(sequence, true);
+        Fixtures.markPersisted(failingJob);
+        sendReport(1, sequence);
         sendReport(
-                1, seq + 1, attemptStatus(job.spec.id(), task, job.lastAttempt, AttemptState.EXITED, ExitCause.ERROR));
+                1,
+                sequence + 1,
+                attemptStatus(
+                        failingJob.spec.id(), task, failingJob.lastAttempt, AttemptState.EXITED, ExitCause.ERROR));
     }
 }
--- a/src/test/java/org/mountlug/core/CoreImportsTest.java
+++ b/src/test/java/org/mountlug/core/CoreImportsTest.java
@@ -12,7 +12,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The core decides without input or output: time and randomness come in as arguments, decisions go out as values. */
+/**
+ * The core must do no input or output and read no clock: it gets time and randomness as arguments and returns decisions as
+ * values.
+ */
 class CoreImportsTest {
     private static final Path CORE = Path.of("src/main/java/org/mountlug/core");
     private static final Pattern FORBIDDEN = Pattern.compile(
@@ -21,20 +24,20 @@
                     + "|.*\\b(System\\.(nanoTime|currentTimeMillis|out|err)|Math\\.random|Instant\\.now|new Thread)\\b.*");
 
     @Test
-    void theCoreTouchesNeitherSocketsNorClocks() throws IOException {
-        List<String> found = new ArrayList<>();
-        int files = 0;
+    void coreUsesNeitherInputOutputNorClocks() throws IOException {
+        List<String> violations = new ArrayList<>();
+        int fileCount = 0;
         try (Stream<Path> paths = Files.walk(CORE)) {
             for (Path path : paths.filter(p -> p.toString().endsWith(".java")).toList()) {
-                files++;
+                fileCount++;
                 for (String line : Files.readAllLines(path)) {
                     if (FORBIDDEN.matcher(line).matches()) {
-                        found.add(path.getFileName() + ": " + line.strip());
+                        violations.add(path.getFileName() + ": " + line.strip());
                     }
                 }
             }
         }
-        assertTrue(files > 30, "the core is where this test looks for it");
-        assertEquals(List.of(), found);
+        assertTrue(fileCount > 30, "the core has more than 30 source files where this test looks for them");
+        assertEquals(List.of(), violations);
     }
 }
--- a/src/test/java/org/mountlug/core/package-info.java
+++ b/src/test/java/org/mountlug/core/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of decisions, without any input or output. */
+/** Tests of the core, which decides without input or output. */
 package org.mountlug.core;
--- a/src/test/java/org/mountlug/package-info.java
+++ b/src/test/java/org/mountlug/package-info.java
@@ -1,2 +1,2 @@
-/** Samples shared by the tests. */
+/** Fixtures that tests of several packages share. */
 package org.mountlug;
