--- a/src/main/java/org/mountlug/core/cluster/AcceleratorHostDemand.java
+++ b/src/main/java/org/mountlug/core/cluster/AcceleratorHostDemand.java
@@ -12,6 +12,7 @@
  * in this term that requests the most CPUs.
  */
 final class AcceleratorHostDemand {
+    /** By class: the specification of the job with accelerators that requests the most CPUs for a task. */
     private final Map<String, JobSpec> mostDemandingByClass = new HashMap<>();
 
     /** Adds a job; one without accelerators is ignored. */
--- a/src/main/java/org/mountlug/core/cluster/Cluster.java
+++ b/src/main/java/org/mountlug/core/cluster/Cluster.java
@@ -31,9 +31,13 @@
     private final long token;
     private final double leaseS;
     private final Map<String, Team> teams = new LinkedHashMap<>();
+    /** Live jobs by id. */
     public final Object2ObjectLinkedOpenHashMap<String, Job> jobs = new Object2ObjectLinkedOpenHashMap<>();
+    /** Machines by name. */
     public final Object2ObjectOpenHashMap<String, Machine> machines = new Object2ObjectOpenHashMap<>();
+    /** Reservations of waiting gangs by job id. */
     public final Map<String, List<Reservation>> reservations = new LinkedHashMap<>();
+    /** Machine types by name. */
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
     /** By name of a machine that is proven gone, the time; the cloud's machine list lags and still shows it for a while. */
     private final Map<String, Double> departedAtS = new LinkedHashMap<>() {
--- a/src/main/java/org/mountlug/core/cluster/CommandHandler.java
+++ b/src/main/java/org/mountlug/core/cluster/CommandHandler.java
@@ -80,8 +80,8 @@
         }
         for (Command command : commands) {
             Placement placement = machine.placements.get(command.taskName());
-            // Not sent directly again, or a worker that refuses connections is called ten times a second; answers carry
-            // it.
+            // The command is sent again only in responses to reports. Sent directly, it would go to a worker that
+            // refuses connections ten times a second.
             if (placement == null || placement.attempt != command.attempt() || command.verb() == Command.Verb.STOP) {
                 continue;
             }
--- a/src/main/java/org/mountlug/core/cluster/FailureAttribution.java
+++ b/src/main/java/org/mountlug/core/cluster/FailureAttribution.java
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Discounts the failures of a finished job that completed no task, as it may have been at fault itself. */
+    /** Discounts the failures of a job that was cancelled before it completed any task, as it never proved to work. */
     void recordFinishedJob(Job job) {
         if (job.doneTasks.isEmpty()) {
             discountFailures(job);
--- a/src/main/java/org/mountlug/core/cluster/Machine.java
+++ b/src/main/java/org/mountlug/core/cluster/Machine.java
@@ -26,9 +26,13 @@
     }
 
     public final String name;
+    /** Machine type, null while it is not known. */
     public MachineType type;
+    /** Name of the zone, null while it is not known. */
     public String zone;
+    /** Whether the machine is a spot machine. */
     public boolean spot;
+    /** Address at which the worker accepts direct commands, null while it is not known. */
     public String address;
 
     /** Session of the newest report. */
--- a/src/main/java/org/mountlug/core/model/Job.java
+++ b/src/main/java/org/mountlug/core/model/Job.java
@@ -23,12 +23,16 @@
      */
     public String writeId = "";
 
+    /** Whether a user has cancelled the job. */
     public boolean cancelled;
     /** Highest attempt number used so far; it is stored, so that no later leader uses a number again. */
     public long lastAttempt;
 
+    /** Tasks that have completed. */
     public final BitSet doneTasks = new BitSet();
+    /** Current placements by task. */
     public final Int2ObjectAVLTreeMap<Placement> placements = new Int2ObjectAVLTreeMap<>();
+    /** By task: number of failures; by replica: number of exits since it last ran stably. */
     public final Int2IntOpenHashMap failuresByTask = new Int2IntOpenHashMap();
     /** Machines on which tasks of the job have failed since one last completed. */
     public final FailureHistory failureHistory = new FailureHistory();
--- a/src/main/java/org/mountlug/core/model/Placement.java
+++ b/src/main/java/org/mountlug/core/model/Placement.java
@@ -39,6 +39,7 @@
     /** Whether the worker has confirmed the attempt, in a report or in the response to a direct command. */
     public boolean reported;
 
+    /** State that the worker reported last, null before the first report of the attempt. */
     public AttemptState state;
     /** Monotonic time in seconds at which the attempt was first reported as running, {@code NaN} if it was not. */
     public double runningSinceS = Double.NaN;
