--- a/src/main/java/org/mountlug/core/scale/BootHistory.java
+++ b/src/main/java/org/mountlug/core/scale/BootHistory.java
@@ -7,118 +7,120 @@
 import org.mountlug.core.cluster.Machine;
 
 /**
- * How ordered machines have come up lately, by kind: how long they took against the nominal boot time, how many never
- * came, and how many are overdue now. What lies back counts less and less, so that a kind is tried again after a time.
+ * Boot times and boot failures of recently rented machines by capacity pool: how long they took compared with the nominal
+ * boot time, how many never came up, and how many are overdue now. Older observations decay, so that a pool that failed is
+ * tried again after some time.
  */
 final class BootHistory {
-    /** Sums over past orders, each weighted by its age. */
-    private static final class Past {
-        double boots;
-        double ratios;
-        double lost;
-        double atS;
-
-        void ageTo(double nowS) {
-            double factor = Math.pow(0.5, Math.max(0, nowS - atS) / Constants.BOOT_HALF_LIFE_S);
-            boots *= factor;
-            ratios *= factor;
-            lost *= factor;
-            atS = nowS;
+    /** Sums over the past rentals of a pool, each weighted by its age. */
+    private static final class BootStatistics {
+        double completedBoots;
+        double bootRatioSum;
+        double lostMachines;
+        double updatedAtS;
+
+        void decayTo(double nowS) {
+            double factor = Math.pow(0.5, Math.max(0, nowS - updatedAtS) / Constants.BOOT_HALF_LIFE_S);
+            completedBoots *= factor;
+            bootRatioSum *= factor;
+            lostMachines *= factor;
+            updatedAtS = nowS;
         }
     }
 
     private final Cluster cluster;
-    private final Map<CapacityPool, Past> past = new HashMap<>();
+    private final Map<CapacityPool, BootStatistics> statisticsByPool = new HashMap<>();
     /**
-     * By kind, how many machines this leader has ordered that are not up, and how many of them are overdue. An earlier
-     * leader's orders are left out, as of those only the late ones are still to be seen.
+     * By pool, how many machines rented by this leader are still booting, and how many of these are overdue. Machines
+     * rented by an earlier leader are left out, because only the late ones among them are still booting.
      */
-    private final Map<CapacityPool, int[]> waiting = new HashMap<>();
-    /** By kind, steady seconds until which nothing more of it is ordered. */
+    private final Map<CapacityPool, int[]> bootingCounts = new HashMap<>();
+    /** By pool, the monotonic time in seconds until which no more of its machines are rented. */
     private final Map<CapacityPool, Double> avoidedUntilS = new HashMap<>();
 
     BootHistory(Cluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Looks at all machines; to be called before each decision to rent. */
+    /** Updates the statistics from the state of all machines; called before each rental decision. */
     void observe(double nowS) {
-        waiting.clear();
+        bootingCounts.clear();
         for (Machine machine : cluster.machines.values()) {
             if (machine.type == null || machine.zone == null) {
                 continue;
             }
-            CapacityPool kind = CapacityPool.of(machine);
+            CapacityPool pool = CapacityPool.of(machine);
             if (machine.takeBootCompleted()) {
-                record(kind, machine, nowS);
+                recordBoot(pool, machine, nowS);
             } else if (machine.awaitingBoot() && !machine.hasBooted() && !machine.beingReturned) {
-                int[] counts = waiting.computeIfAbsent(kind, k -> new int[2]);
+                int[] counts = bootingCounts.computeIfAbsent(pool, k -> new int[2]);
                 counts[0]++;
                 counts[1] += isOverdue(machine, nowS) ? 1 : 0;
             }
         }
-        waiting.forEach((kind, counts) -> avoidIfOverdue(kind, counts, nowS));
+        bootingCounts.forEach((pool, counts) -> avoidIfOverdue(pool, counts, nowS));
     }
 
-    private void record(CapacityPool kind, Machine machine, double nowS) {
-        Past p = past(kind, nowS);
-        p.boots++;
-        p.ratios += Math.min(Constants.MAX_BOOT_RATIO, machine.bootDurationS() / Math.max(1, machine.type.bootS()));
+    private void recordBoot(CapacityPool pool, Machine machine, double nowS) {
+        BootStatistics statistics = statisticsOf(pool, nowS);
+        statistics.completedBoots++;
+        statistics.bootRatioSum +=
+                Math.min(Constants.MAX_BOOT_RATIO, machine.bootDurationS() / Math.max(1, machine.type.bootS()));
     }
 
-    private void avoidIfOverdue(CapacityPool kind, int[] counts, double nowS) {
-        double cameUp = past(kind, nowS).boots;
-        if (counts[1] < Constants.MIN_OVERDUE_MACHINES || counts[1] < cameUp || counts[1] * 2 < counts[0]) {
+    private void avoidIfOverdue(CapacityPool pool, int[] counts, double nowS) {
+        double completedBoots = statisticsOf(pool, nowS).completedBoots;
+        if (counts[1] < Constants.MIN_OVERDUE_MACHINES || counts[1] < completedBoots || counts[1] * 2 < counts[0]) {
             return;
         }
-        Double before = avoidedUntilS.put(kind, nowS + Constants.OVERDUE_POOL_PAUSE_S);
-        if (before == null || before < nowS) {
-            cluster.addEvent("machines overdue, nothing more of their kind is ordered for now", kind.toString());
+        Double previousUntilS = avoidedUntilS.put(pool, nowS + Constants.OVERDUE_POOL_PAUSE_S);
+        if (previousUntilS == null || previousUntilS < nowS) {
+            cluster.addEvent("machines overdue, pausing further rentals from their capacity pool", pool.toString());
         }
     }
 
-    /** A machine was given up that never came up. */
+    /** Records that a machine was given up because it never came up. */
     void recordLost(Machine machine, double nowS) {
-        past(CapacityPool.of(machine), nowS).lost++;
+        statisticsOf(CapacityPool.of(machine), nowS).lostMachines++;
     }
 
-    private Past past(CapacityPool kind, double nowS) {
-        Past p = past.computeIfAbsent(kind, k -> new Past());
-        p.ageTo(nowS);
-        return p;
+    private BootStatistics statisticsOf(CapacityPool pool, double nowS) {
+        BootStatistics statistics = statisticsByPool.computeIfAbsent(pool, k -> new BootStatistics());
+        statistics.decayTo(nowS);
+        return statistics;
     }
 
-    /** Whether a machine has taken so much longer than its kind usually does that it may never come up. */
+    /** Whether a machine has taken so much longer than is usual for its pool that it may never come up. */
     boolean isOverdue(Machine machine, double nowS) {
         return nowS - machine.rentedS > Constants.BOOT_OVERDUE_FACTOR * expectedBootS(machine, nowS);
     }
 
-    /** Seconds after which a machine that has not come up is given up. */
+    /** Returns the seconds since its rental after which a machine that has not come up is given up. */
     double giveUpAfterS(Machine machine, double nowS) {
         return expectedBootS(machine, nowS) * Constants.BOOT_TIMEOUT_FACTOR + Constants.BOOT_TIMEOUT_MARGIN_S;
     }
 
-    /** Seconds from the order in which a machine of its kind should be up. */
+    /** Returns the seconds that a machine of this pool is expected to take from its rental until it is up. */
     double expectedBootS(Machine machine, double nowS) {
         return machine.type.bootS() * bootTimeFactor(CapacityPool.of(machine), nowS);
     }
 
-    /** How many times its nominal boot time a kind takes, by what came up lately; 1 at the least. */
-    double bootTimeFactor(CapacityPool kind, double nowS) {
-        Past p = past(kind, nowS);
-        double prior = Constants.BOOT_PRIOR_SAMPLES;
-        return Math.max(1, (prior + p.ratios) / (prior + p.boots));
+    /** Returns the ratio of recent boot times to the nominal boot time of a pool, at least 1. */
+    double bootTimeFactor(CapacityPool pool, double nowS) {
+        BootStatistics statistics = statisticsOf(pool, nowS);
+        double priorSamples = Constants.BOOT_PRIOR_SAMPLES;
+        return Math.max(1, (priorSamples + statistics.bootRatioSum) / (priorSamples + statistics.completedBoots));
     }
 
-    /** The share of orders of a kind that never come up. */
-    double lossRate(CapacityPool kind, double nowS) {
-        Past p = past(kind, nowS);
-        return (Constants.BOOT_PRIOR_SAMPLES * Constants.BOOT_LOSS_PRIOR + p.lost)
-                / (Constants.BOOT_PRIOR_SAMPLES + p.lost + p.boots);
+    /** Returns the share of rented machines of a pool that never come up. */
+    double lossRate(CapacityPool pool, double nowS) {
+        BootStatistics statistics = statisticsOf(pool, nowS);
+        return (Constants.BOOT_PRIOR_SAMPLES * Constants.BOOT_LOSS_PRIOR + statistics.lostMachines)
+                / (Constants.BOOT_PRIOR_SAMPLES + statistics.lostMachines + statistics.completedBoots);
     }
 
-    /** Whether nothing more of a kind should be ordered for now, as most of what was ordered is overdue. */
-    boolean isAvoided(CapacityPool kind, double nowS) {
-        return avoidedUntilS.getOrDefault(kind, Double.NEGATIVE_INFINITY) > nowS;
+    /** Whether no more machines of a pool should be rented for now, because most of those rented are overdue. */
+    boolean isAvoided(CapacityPool pool, double nowS) {
+        return avoidedUntilS.getOrDefault(pool, Double.NEGATIVE_INFINITY) > nowS;
     }
 }
--- a/src/main/java/org/mountlug/core/scale/CapacityPool.java
+++ b/src/main/java/org/mountlug/core/scale/CapacityPool.java
@@ -2,9 +2,9 @@
 
 import org.mountlug.core.cluster.Machine;
 
-/** What the cloud's capacity is counted by: a machine type in a zone, spot or ordinary. */
+/** The unit in which the cloud has or lacks capacity: a machine type in a zone, either spot or on-demand. */
 public record CapacityPool(String type, String zone, boolean spot) {
-    /** The kind of a machine whose type is known. */
+    /** Returns the pool of a machine, whose type must be known. */
     public static CapacityPool of(Machine machine) {
         return new CapacityPool(machine.type.name(), machine.zone, machine.spot);
     }
--- a/src/main/java/org/mountlug/core/scale/ListedMachine.java
+++ b/src/main/java/org/mountlug/core/scale/ListedMachine.java
@@ -1,9 +1,9 @@
 package org.mountlug.core.scale;
 
-/** A machine as the cloud's lagging list shows it. */
+/** An entry of the cloud's machine list, which lags behind the actual state. */
 public record ListedMachine(
         String name, String address, String type, String zone, boolean spot, Status status, double ageS) {
-    /** What the cloud says of a machine. */
+    /** The cloud's status of a machine. */
     public enum Status {
         BOOTING,
         RUNNING,
--- a/src/main/java/org/mountlug/core/scale/MachineDrainer.java
+++ b/src/main/java/org/mountlug/core/scale/MachineDrainer.java
@@ -7,7 +7,10 @@
 import org.mountlug.core.model.Placement;
 import org.mountlug.core.model.Priority;
 
-/** Stops what runs on machines that are about to go, in time to save it, and moves replicas away one after the other. */
+/**
+ * Drains machines that the cloud reclaims, that are quarantined or that are being vacated: stops tasks early enough to save
+ * their checkpoints, and relocates service replicas step by step.
+ */
 final class MachineDrainer {
     private final Cluster cluster;
 
@@ -15,52 +18,56 @@
         this.cluster = cluster;
     }
 
-    /** Tasks on machines that the cloud is about to take: they save and move on, the rest may finish in time. */
+    /**
+     * Stops tasks that must save their checkpoint now or that cannot end before their machine is reclaimed; lets the other
+     * tasks run on, because they may end in time.
+     */
     void drain(double nowS) {
-        for (Machine m : cluster.machines.values()) {
-            if (Double.isNaN(m.reclaimAtS) && !m.quarantined && !m.draining) {
+        for (Machine machine : cluster.machines.values()) {
+            if (Double.isNaN(machine.reclaimAtS) && !machine.quarantined && !machine.draining) {
                 continue;
             }
-            for (Placement p : m.placements.values()) {
-                JobSpec s = p.job.spec;
-                if (s.isService()) {
-                    if (!p.stopping) {
-                        move(m, p, nowS);
+            for (Placement placement : machine.placements.values()) {
+                JobSpec spec = placement.job.spec;
+                if (spec.isService()) {
+                    if (!placement.stopping) {
+                        relocate(machine, placement, nowS);
                     }
                     continue;
                 }
-                if (p.stopping || Double.isNaN(m.reclaimAtS) && s.checkpointIntervalS() == 0) {
-                    if (m.draining && s.priority() == Priority.IDLE && !p.stopping) {
-                        p.requestStop(0);
+                if (placement.stopping || Double.isNaN(machine.reclaimAtS) && spec.checkpointIntervalS() == 0) {
+                    if (machine.draining && spec.priority() == Priority.IDLE && !placement.stopping) {
+                        placement.requestStop(0);
                     }
                     continue;
                 }
-                double left = Double.isNaN(m.reclaimAtS) ? 60 : m.reclaimAtS - nowS;
-                double ran = Double.isNaN(p.runningSinceS) ? 0 : nowS - p.runningSinceS;
-                if (s.checkpointIntervalS() > 0 && left <= s.checkpointSaveS() + 4
-                        || s.isGang() && left <= s.checkpointSaveS() + 5
-                        || s.checkpointIntervalS() > 0 && cluster.expectedRunS(p.job) - ran > left) {
-                    p.requestStop(Math.max(
-                            s.checkpointSaveS(), Math.min(left, s.checkpointSaveS() + Constants.SAVE_GRACE_S)));
+                double remainingS = Double.isNaN(machine.reclaimAtS) ? 60 : machine.reclaimAtS - nowS;
+                double ranS = Double.isNaN(placement.runningSinceS) ? 0 : nowS - placement.runningSinceS;
+                if (spec.checkpointIntervalS() > 0 && remainingS <= spec.checkpointSaveS() + 4
+                        || spec.isGang() && remainingS <= spec.checkpointSaveS() + 5
+                        || spec.checkpointIntervalS() > 0 && cluster.expectedRunS(placement.job) - ranS > remainingS) {
+                    placement.requestStop(Math.max(
+                            spec.checkpointSaveS(),
+                            Math.min(remainingS, spec.checkpointSaveS() + Constants.SAVE_GRACE_S)));
                 }
             }
         }
     }
 
-    /** Marks replicas whose machine is about to go, and stops them once there is room for them elsewhere. */
-    private void move(Machine m, Placement p, double nowS) {
-        p.relocating = true;
-        double left = Double.isNaN(m.reclaimAtS) ? Double.POSITIVE_INFINITY : m.reclaimAtS - nowS;
-        int away = 0;
-        for (Placement q : p.job.placements.values()) {
-            if (q.stopping) {
-                away++;
+    /** Marks a replica as relocating, and stops it once another machine has free capacity for it. */
+    private void relocate(Machine machine, Placement placement, double nowS) {
+        placement.relocating = true;
+        double remainingS = Double.isNaN(machine.reclaimAtS) ? Double.POSITIVE_INFINITY : machine.reclaimAtS - nowS;
+        int unavailable = 0;
+        for (Placement sibling : placement.job.placements.values()) {
+            if (sibling.stopping) {
+                unavailable++;
             }
         }
-        away += p.job.pendingTaskCount();
-        boolean some = away * 2 < p.job.spec.tasks(); // never all of a service at a time, if it can be helped
-        if (left < Constants.REPLICA_FORCED_STOP_S || some && cluster.hasCapacityElsewhere(p)) {
-            p.requestStop(0);
+        unavailable += placement.job.pendingTaskCount();
+        boolean mostAvailable = unavailable * 2 < placement.job.spec.tasks(); // avoids stopping all replicas at a time
+        if (remainingS < Constants.REPLICA_FORCED_STOP_S || mostAvailable && cluster.hasCapacityElsewhere(placement)) {
+            placement.requestStop(0);
         }
     }
 }
--- a/src/main/java/org/mountlug/core/scale/PlannedMachine.java
+++ b/src/main/java/org/mountlug/core/scale/PlannedMachine.java
@@ -5,76 +5,81 @@
 import org.mountlug.core.model.Resources;
 
 /**
- * A machine that is there, boots or is to be ordered, with the work that a plan leaves to it: in parts of the machine times
- * seconds, as a fluid.
+ * A machine that is up, boots or is to be rented, with the work that a plan assigns to it. Work is treated as a fluid and
+ * summed up in seconds for which it would use the whole machine.
  */
 final class PlannedMachine {
     final MachineType type;
     final String zone;
     final boolean spot;
     final double readyInS;
-    /** What work that ends may use of it; replicas take theirs off. */
+    /** Capacity for array and gang tasks; each assigned replica reduces it for good. */
     Resources capacity;
 
-    private double load;
+    private double loadS;
 
-    PlannedMachine(MachineType type, String zone, boolean spot, double bootS) {
-        this(type, zone, spot, bootS, type.capacity());
+    PlannedMachine(MachineType type, String zone, boolean spot, double readyInS) {
+        this(type, zone, spot, readyInS, type.capacity());
     }
 
-    PlannedMachine(MachineType type, String zone, boolean spot, double bootS, Resources size) {
-        this.capacity = size;
+    PlannedMachine(MachineType type, String zone, boolean spot, double readyInS, Resources capacity) {
+        this.capacity = capacity;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
-        this.readyInS = bootS;
+        this.readyInS = readyInS;
     }
 
-    /** How many tasks it takes within the horizon; one wave at least if it is still empty. */
-    int assign(JobSpec s, double expectedRunS, double horizonS, int wanted) {
-        int slots = s.request().countIn(capacity);
+    /**
+     * Assigns up to {@code wanted} tasks and returns how many fit within the horizon; an empty machine takes at least as
+     * many as it can run at the same time.
+     */
+    int assign(JobSpec spec, double expectedRunS, double horizonS, int wanted) {
+        int slots = spec.request().countIn(capacity);
         if (slots == 0) {
             return 0;
         }
-        if (s.isService()) {
-            int k = Math.min(wanted, slots);
+        if (spec.isService()) {
+            int assigned = Math.min(wanted, slots);
             capacity = capacity.minus(new Resources(
-                    s.request().cpus() * k, s.request().gpus() * k, s.request().ramGb() * k));
-            return k;
+                    spec.request().cpus() * assigned,
+                    spec.request().gpus() * assigned,
+                    spec.request().ramGb() * assigned));
+            return assigned;
         }
-        double t = Math.max(horizonS - readyInS, readyInS > 0 ? Math.min(expectedRunS, horizonS) : 0);
-        if (t <= 0) {
+        double availableS = Math.max(horizonS - readyInS, readyInS > 0 ? Math.min(expectedRunS, horizonS) : 0);
+        if (availableS <= 0) {
             return 0;
         }
-        double each = Math.min(expectedRunS, t) / slots;
-        int k = (int) Math.min(wanted, Math.floor((t - load) / each + 1e-6));
-        if (s.isGang()) {
-            k = Math.min(k, slots); // all of a gang runs at the same time, never in waves
+        double perTaskS = Math.min(expectedRunS, availableS) / slots;
+        int assigned = (int) Math.min(wanted, Math.floor((availableS - loadS) / perTaskS + 1e-6));
+        if (spec.isGang()) {
+            assigned = Math.min(assigned, slots); // the tasks of a gang must all run at the same time
         }
-        if (k <= 0) {
+        if (assigned <= 0) {
             return 0;
         }
-        load += k * each;
-        return k;
+        loadS += assigned * perTaskS;
+        return assigned;
     }
 
-    /** Whether it is of a kind on which a task of the job may run. */
+    /** Whether the job allows this machine's type, zone and market; {@code cpuOnly} excludes machines with accelerators. */
     boolean allows(JobSpec spec, boolean cpuOnly) {
         return spec.allows(type.name(), zone, spot)
                 && !(cpuOnly && type.capacity().gpus() > 0);
     }
 
-    /** Adds work that is on it already, seconds of it for a task of this size. */
-    void addLoad(double seconds, Resources need) {
-        load += seconds * need.dominantShareOf(capacity);
+    /** Adds the remaining seconds of a task that already runs here and has this resource request. */
+    void addLoad(double remainingS, Resources request) {
+        loadS += remainingS * request.dominantShareOf(capacity);
     }
 
-    /** One more of the same kind, with nothing to do. */
+    /** Returns a machine of the same pool without any work. */
     PlannedMachine emptyCopy() {
         return new PlannedMachine(type, zone, spot, readyInS);
     }
 
-    /** Its type, zone and market. */
+    /** Returns the machine's type, zone and market. */
     CapacityPool pool() {
         return new CapacityPool(type.name(), zone, spot);
     }
--- a/src/main/java/org/mountlug/core/scale/RentalPlan.java
+++ b/src/main/java/org/mountlug/core/scale/RentalPlan.java
@@ -15,125 +15,126 @@
 import org.mountlug.core.model.MachineType;
 
 /**
- * One decision on what to rent: the machines there are and those that boot, over which queued work is laid, and the orders
- * for what they cannot take in time.
+ * One rental decision: assigns queued work to the machines that are up or boot, and collects the machines to rent for the
+ * work that these cannot run in time.
  */
 final class RentalPlan {
     private final Cluster cluster;
-    private final BootHistory boots;
+    private final BootHistory bootHistory;
     private final double spotRisk;
     private final double nowS;
-    private final Set<String> barredZones;
-    /** Kinds of machine that were refused, with the steady seconds until which they are not asked for. */
-    private final Map<CapacityPool, Double> exhausted;
+    private final Set<String> closedZones;
+    /** Pools that the cloud refused to rent from, with the monotonic time in seconds until which they are not used. */
+    private final Map<CapacityPool, Double> exhaustedUntilS;
 
-    private final List<PlannedMachine> planned = new ArrayList<>();
-    private final UnplaceableDemand refused = new UnplaceableDemand();
+    private final List<PlannedMachine> plannedMachines = new ArrayList<>();
+    private final UnplaceableDemand unplaceable = new UnplaceableDemand();
     private final Map<CapacityPool, Integer> machinesToRent = new LinkedHashMap<>();
-    private int deferrableLeft = Integer.MAX_VALUE;
-    private boolean patient;
+    private int deferrableRentalsLeft = Integer.MAX_VALUE;
+    private boolean rentingDeferrable;
 
     RentalPlan(
             Cluster cluster,
-            BootHistory boots,
+            BootHistory bootHistory,
             double spotRisk,
-            Set<String> barredZones,
-            Map<CapacityPool, Double> exhausted,
+            Set<String> closedZones,
+            Map<CapacityPool, Double> exhaustedUntilS,
             double nowS) {
         this.cluster = cluster;
-        this.boots = boots;
+        this.bootHistory = bootHistory;
         this.spotRisk = spotRisk;
-        this.barredZones = barredZones;
-        this.exhausted = exhausted;
+        this.closedZones = closedZones;
+        this.exhaustedUntilS = exhaustedUntilS;
         this.nowS = nowS;
     }
 
-    /** The machines on which queued work may count; to be set before anything is planned. */
+    /** Adds machines that can take queued work; called before any work is planned. */
     void addMachines(List<PlannedMachine> machines) {
-        planned.addAll(machines);
-        planned.sort(Comparator.comparingDouble(machine -> machine.readyInS));
+        plannedMachines.addAll(machines);
+        plannedMachines.sort(Comparator.comparingDouble(machine -> machine.readyInS));
     }
 
-    /** Limits how many machines are ordered for patient work, see {@link #patient}. */
-    void limitDeferrable(int most) {
-        deferrableLeft = most;
+    /** Limits how many machines are rented for deferrable work, see {@link #setDeferrable}. */
+    void limitDeferrable(int maxMachines) {
+        deferrableRentalsLeft = maxMachines;
     }
 
-    /** Tells whether what is ordered from now on is for work that can wait and see whether a lost zone comes back. */
-    void setDeferrable(boolean is) {
-        patient = is;
+    /** Sets whether the following rentals are for work that can wait for a lost zone to come back. */
+    void setDeferrable(boolean deferrable) {
+        rentingDeferrable = deferrable;
     }
 
-    /** How many machines of each kind to order. */
+    /** Returns the number of machines to rent from each pool. */
     Map<CapacityPool, Integer> machinesToRent() {
         return machinesToRent;
     }
 
-    /** Lays up to {@code wanted} tasks over the machines; returns how many they take. */
+    /** Assigns up to {@code wanted} tasks to the planned machines and returns how many were assigned. */
     int assign(JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly) {
-        boolean upAreFull = refused.covers(spec, expectedS, horizonS, cpuOnly);
-        int taken = 0;
-        int takenByUp = 0;
-        for (PlannedMachine machine : planned) {
-            if (taken >= wanted) {
-                return taken;
+        boolean readyMachinesFull = unplaceable.covers(spec, expectedS, horizonS, cpuOnly);
+        int assigned = 0;
+        int assignedToReady = 0;
+        for (PlannedMachine machine : plannedMachines) {
+            if (assigned >= wanted) {
+                return assigned;
             }
-            if (upAreFull && machine.readyInS == 0 || !machine.allows(spec, cpuOnly)) {
+            if (readyMachinesFull && machine.readyInS == 0 || !machine.allows(spec, cpuOnly)) {
                 continue;
             }
-            int more = machine.assign(spec, expectedS, horizonS, wanted - taken);
-            taken += more;
-            takenByUp += machine.readyInS == 0 ? more : 0;
+            int added = machine.assign(spec, expectedS, horizonS, wanted - assigned);
+            assigned += added;
+            assignedToReady += machine.readyInS == 0 ? added : 0;
         }
-        if (takenByUp == 0 && !upAreFull) {
-            refused.add(spec, expectedS, horizonS, cpuOnly);
+        if (assignedToReady == 0 && !readyMachinesFull) {
+            unplaceable.add(spec, expectedS, horizonS, cpuOnly);
         }
-        return taken;
+        return assigned;
     }
 
-    /** A kind that would serve the work, how many machines of it, and at what cost. */
+    /** A machine type, zone and market that could run the work, the number of machines needed, and their cost. */
     private record Offer(PlannedMachine machine, int count, double cost) {}
 
-    /** Orders machines for {@code wanted} tasks; returns how many they serve. */
+    /** Adds machines to rent for {@code wanted} tasks and returns how many of the tasks they can run. */
     int rent(JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly) {
-        return rent(spec, expectedS, horizonS, wanted, cpuOnly, barredZones);
+        return rent(spec, expectedS, horizonS, wanted, cpuOnly, closedZones);
     }
 
     private int rent(
-            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> barredZones) {
-        int left = wanted;
-        while (left > 0) {
-            Offer best = cheapest(spec, expectedS, horizonS, left, cpuOnly, barredZones);
+            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> excludedZones) {
+        int remaining = wanted;
+        while (remaining > 0) {
+            Offer best = cheapestOffer(spec, expectedS, horizonS, remaining, cpuOnly, excludedZones);
             if (best == null) {
                 break;
             }
-            CapacityPool kind = best.machine.pool();
-            int have = machinesToRent.getOrDefault(kind, 0);
-            int take = Math.min(best.count, Constants.MAX_MACHINES_PER_RENTAL * Constants.MAX_RENTALS_PER_POOL - have);
-            take = patient ? Math.min(take, deferrableLeft) : take;
-            if (take <= 0) {
+            CapacityPool pool = best.machine.pool();
+            int alreadyRenting = machinesToRent.getOrDefault(pool, 0);
+            int rentCount = Math.min(
+                    best.count, Constants.MAX_MACHINES_PER_RENTAL * Constants.MAX_RENTALS_PER_POOL - alreadyRenting);
+            rentCount = rentingDeferrable ? Math.min(rentCount, deferrableRentalsLeft) : rentCount;
+            if (rentCount <= 0) {
                 break;
             }
-            deferrableLeft -= patient ? take : 0;
-            for (int i = 0; i < take && left > 0; i++) {
+            deferrableRentalsLeft -= rentingDeferrable ? rentCount : 0;
+            for (int i = 0; i < rentCount && remaining > 0; i++) {
                 PlannedMachine machine = best.machine.emptyCopy();
-                left -= Math.max(1, machine.assign(spec, expectedS, horizonS, left));
-                planned.add(machine);
+                remaining -= Math.max(1, machine.assign(spec, expectedS, horizonS, remaining));
+                plannedMachines.add(machine);
             }
-            machinesToRent.put(kind, have + take);
+            machinesToRent.put(pool, alreadyRenting + rentCount);
         }
-        return wanted - Math.max(0, left);
+        return wanted - Math.max(0, remaining);
     }
 
-    private Offer cheapest(
-            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> barredZones) {
+    private Offer cheapestOffer(
+            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> excludedZones) {
         Offer best = null;
         for (MachineType type : cluster.types()) {
             if (!spec.canEverRunOn(type) || cpuOnly && type.capacity().gpus() > 0) {
                 continue;
             }
             for (String zone : type.zones()) {
-                if (barredZones.contains(zone)) {
+                if (excludedZones.contains(zone)) {
                     continue;
                 }
                 for (boolean spot : new boolean[] {false, true}) {
@@ -149,24 +150,25 @@
     }
 
     private Offer offer(
-            JobSpec spec, double expectedS, double horizonS, int wanted, MachineType type, CapacityPool kind) {
-        if (!spec.allows(kind.type(), kind.zone(), kind.spot())
-                || exhausted.getOrDefault(kind, 0.0) > nowS
-                || boots.isAvoided(kind, nowS)) {
+            JobSpec spec, double expectedS, double horizonS, int wanted, MachineType type, CapacityPool pool) {
+        if (!spec.allows(pool.type(), pool.zone(), pool.spot())
+                || exhaustedUntilS.getOrDefault(pool, 0.0) > nowS
+                || bootHistory.isAvoided(pool, nowS)) {
             return null;
         }
-        double bootS = type.bootS() * boots.bootTimeFactor(kind, nowS);
-        PlannedMachine machine = new PlannedMachine(type, kind.zone(), kind.spot(), bootS);
-        int each = machine.emptyCopy().assign(spec, expectedS, horizonS, wanted);
-        if (each == 0) {
+        double bootS = type.bootS() * bootHistory.bootTimeFactor(pool, nowS);
+        PlannedMachine machine = new PlannedMachine(type, pool.zone(), pool.spot(), bootS);
+        int tasksPerMachine = machine.emptyCopy().assign(spec, expectedS, horizonS, wanted);
+        if (tasksPerMachine == 0) {
             return null;
         }
-        int count = (wanted + each - 1) / each;
-        double price = type.pricePerHour(kind.spot()) * (kind.spot() ? spotRisk : 1) / (1 - boots.lossRate(kind, nowS));
+        int count = (wanted + tasksPerMachine - 1) / tasksPerMachine;
+        double price =
+                type.pricePerHour(pool.spot()) * (pool.spot() ? spotRisk : 1) / (1 - bootHistory.lossRate(pool, nowS));
         return new Offer(machine, count, count * price * (bootS + busyS(spec, expectedS, type, wanted, count)));
     }
 
-    /** Seconds for which each of the machines would work. */
+    /** Returns the estimated seconds for which each of the machines would be busy. */
     private static double busyS(JobSpec spec, double expectedS, MachineType type, int wanted, int count) {
         if (spec.isService()) {
             return Constants.ASSUMED_SERVICE_RENTAL_S;
@@ -176,73 +178,84 @@
         return Math.max(Constants.MIN_ESTIMATED_RENTAL_S, expectedS * waves);
     }
 
-    /** Room for so many replicas of a service that is live, or with no job for ones that are yet to come. */
+    /**
+     * Assigns replicas of a service to planned machines, and rents machines for those that do not fit.
+     *
+     * @param job the live service, or null for replicas of services that are expected to be submitted soon
+     */
     void planReplicas(JobSpec spec, int wanted, Job job) {
-        boolean plain = spec.request().gpus() == 0;
-        Map<String, Integer> zoneLeft = spec.spreadAcrossZones() ? zoneLeft(spec, wanted, job) : new HashMap<>();
-        int left = wanted - assignReplicas(spec, wanted, plain, zoneLeft);
-        zoneLeft.keySet().removeAll(barredZones);
-        while (left > 0) {
-            int asked = spec.spreadAcrossZones() ? Math.min(left, most(zoneLeft)) : left;
-            if (asked <= 0) {
+        boolean cpuOnly = spec.request().gpus() == 0;
+        Map<String, Integer> remainingByZone =
+                spec.spreadAcrossZones() ? remainingByZone(spec, wanted, job) : new HashMap<>();
+        int remaining = wanted - assignReplicas(spec, wanted, cpuOnly, remainingByZone);
+        remainingByZone.keySet().removeAll(closedZones);
+        while (remaining > 0) {
+            int requested = spec.spreadAcrossZones() ? Math.min(remaining, maxRemaining(remainingByZone)) : remaining;
+            if (requested <= 0) {
                 return;
             }
-            Set<String> barred = new HashSet<>(barredZones);
-            zoneLeft.forEach((zone, room) -> {
-                if (room < asked) {
-                    barred.add(zone);
+            Set<String> excludedZones = new HashSet<>(closedZones);
+            remainingByZone.forEach((zone, zoneRemaining) -> {
+                if (zoneRemaining < requested) {
+                    excludedZones.add(zone);
                 }
             });
-            int got = rent(spec, 0, 0, asked, plain, barred);
-            if (got <= 0 && plain) {
-                got = rent(spec, 0, 0, asked, false, barred);
+            int served = rent(spec, 0, 0, requested, cpuOnly, excludedZones);
+            if (served <= 0 && cpuOnly) {
+                served = rent(spec, 0, 0, requested, false, excludedZones);
             }
-            if (got <= 0) {
+            if (served <= 0) {
                 if (!spec.spreadAcrossZones()) {
                     return;
                 }
-                zoneLeft.keySet().removeIf(zone -> !barred.contains(zone)); // nothing to be had there
+                // No machine can be rented in the zones that were tried.
+                remainingByZone.keySet().removeIf(zone -> !excludedZones.contains(zone));
                 continue;
             }
-            left -= got;
-            int taken = got;
-            zoneLeft.computeIfPresent(planned.get(planned.size() - 1).zone, (zone, room) -> room - taken);
+            remaining -= served;
+            int servedInZone = served;
+            remainingByZone.computeIfPresent(
+                    plannedMachines.get(plannedMachines.size() - 1).zone,
+                    (zone, zoneRemaining) -> zoneRemaining - servedInZone);
         }
     }
 
-    private static int most(Map<String, Integer> zoneLeft) {
-        return zoneLeft.values().stream().mapToInt(room -> room).max().orElse(0);
+    private static int maxRemaining(Map<String, Integer> remainingByZone) {
+        return remainingByZone.values().stream()
+                .mapToInt(zoneRemaining -> zoneRemaining)
+                .max()
+                .orElse(0);
     }
 
-    /** How many more replicas each zone may have. */
-    private Map<String, Integer> zoneLeft(JobSpec spec, int wanted, Job job) {
-        int most = job != null ? spec.maxTasksPerZone() : (wanted + 1) / 2;
-        Map<String, Integer> zoneLeft = new HashMap<>();
+    /** Returns how many more replicas each zone may hold. */
+    private Map<String, Integer> remainingByZone(JobSpec spec, int wanted, Job job) {
+        int maxPerZone = job != null ? spec.maxTasksPerZone() : (wanted + 1) / 2;
+        Map<String, Integer> remainingByZone = new HashMap<>();
         for (MachineType type : cluster.types()) {
             for (String zone : type.zones()) {
-                zoneLeft.put(zone, most - (job == null ? 0 : job.placedTasksIn(zone)));
+                remainingByZone.put(zone, maxPerZone - (job == null ? 0 : job.placedTasksIn(zone)));
             }
         }
-        return zoneLeft;
+        return remainingByZone;
     }
 
-    private int assignReplicas(JobSpec spec, int wanted, boolean plain, Map<String, Integer> zoneLeft) {
-        int taken = 0;
-        for (PlannedMachine machine : planned) {
-            if (taken >= wanted) {
+    private int assignReplicas(JobSpec spec, int wanted, boolean cpuOnly, Map<String, Integer> remainingByZone) {
+        int assigned = 0;
+        for (PlannedMachine machine : plannedMachines) {
+            if (assigned >= wanted) {
                 break;
             }
-            if (!machine.allows(spec, plain)) {
+            if (!machine.allows(spec, cpuOnly)) {
                 continue;
             }
-            int may = Math.min(wanted - taken, zoneLeft.getOrDefault(machine.zone, wanted - taken));
-            if (may <= 0) {
+            int allowed = Math.min(wanted - assigned, remainingByZone.getOrDefault(machine.zone, wanted - assigned));
+            if (allowed <= 0) {
                 continue;
             }
-            int more = machine.assign(spec, 0, 0, may);
-            taken += more;
-            zoneLeft.computeIfPresent(machine.zone, (zone, room) -> room - more);
+            int added = machine.assign(spec, 0, 0, allowed);
+            assigned += added;
+            remainingByZone.computeIfPresent(machine.zone, (zone, zoneRemaining) -> zoneRemaining - added);
         }
-        return taken;
+        return assigned;
     }
 }
--- a/src/main/java/org/mountlug/core/scale/RentalPlanner.java
+++ b/src/main/java/org/mountlug/core/scale/RentalPlanner.java
@@ -20,82 +20,82 @@
 import org.mountlug.core.zone.ZoneMonitor;
 
 /**
- * Decides which machines to rent. Queued work is laid, as a fluid, over the machines there are and those that boot; what
- * does not fit within a part of its slack is worth a new machine of the kind that serves it most cheaply.
+ * Decides which machines to rent. Queued work is assigned, as a fluid, to the machines that are up or boot; for work that
+ * they cannot take within a share of its slack, machines are rented from the capacity pool that runs it most cheaply.
  */
 final class RentalPlanner {
     private final Cluster cluster;
-    private final Objectives aims;
+    private final Objectives objectives;
     private final double leaseS;
     private final double spotRisk;
-    private final BootHistory boots;
+    private final BootHistory bootHistory;
     private final ZoneMonitor zones;
     private final ServiceDemand services;
-    private final Map<CapacityPool, Double> exhausted = new HashMap<>();
-    /** Kinds that were refused and of which nothing was asked in vain since. */
-    private final Set<CapacityPool> knownExhausted = new HashSet<>();
+    private final Map<CapacityPool, Double> exhaustedUntilS = new HashMap<>();
+    /** Pools that the cloud refused to rent from and that have not served a rental since. */
+    private final Set<CapacityPool> reportedExhausted = new HashSet<>();
 
-    private long counter;
+    private long requestCounter;
 
     RentalPlanner(
             Cluster cluster,
-            Objectives aims,
+            Objectives objectives,
             double leaseS,
             double spotRisk,
-            BootHistory boots,
+            BootHistory bootHistory,
             ZoneMonitor zones,
             ServiceDemand services) {
         this.cluster = cluster;
-        this.aims = aims;
+        this.objectives = objectives;
         this.leaseS = leaseS;
         this.spotRisk = spotRisk;
-        this.boots = boots;
+        this.bootHistory = bootHistory;
         this.zones = zones;
         this.services = services;
     }
 
-    /** The cloud has no more machines of this kind for now; tells whether that is news. */
+    /** Records that the cloud has no more machines in this pool for now; returns false if that was known already. */
     boolean recordRefused(RentalRequest rental, double nowS) {
-        exhausted.put(rental.pool(), nowS + Constants.NO_CAPACITY_PAUSE_S);
-        return knownExhausted.add(rental.pool());
+        exhaustedUntilS.put(rental.pool(), nowS + Constants.NO_CAPACITY_PAUSE_S);
+        return reportedExhausted.add(rental.pool());
     }
 
-    /** The cloud has rented all that was asked of this kind; tells whether that is news. */
+    /** Records that the cloud rented all requested machines; returns whether the pool had been recorded as refused. */
     boolean recordServed(RentalRequest rental) {
-        return knownExhausted.remove(rental.pool());
+        return reportedExhausted.remove(rental.pool());
     }
 
-    /** What to rent now. */
+    /** Returns the rental requests to send now. */
     List<RentalRequest> planRentals(double nowS, double nowEpochS) {
-        boots.observe(nowS);
-        Set<String> barredZones = zones.closedZones(nowS);
-        RentalPlan plan = new RentalPlan(cluster, boots, spotRisk, barredZones, exhausted, nowS);
-        plan.addMachines(countedOn(barredZones, nowS));
+        bootHistory.observe(nowS);
+        Set<String> closedZones = zones.closedZones(nowS);
+        RentalPlan plan = new RentalPlan(cluster, bootHistory, spotRisk, closedZones, exhaustedUntilS, nowS);
+        plan.addMachines(usableMachines(closedZones, nowS));
         plan.limitDeferrable(zones.maxDeferrableRentals(nowS));
         Map<String, Resources> usage = cluster.usageByTeam();
         cluster.overflowJobs.clear();
-        boolean headroomKept = false;
-        for (Job job : waiting(nowEpochS)) {
-            if (!job.spec.isService() && !headroomKept) {
-                keepHeadroom(plan, nowEpochS); // ahead of work that ends
-                headroomKept = true;
+        boolean headroomPlanned = false;
+        for (Job job : waitingJobs(nowEpochS)) {
+            if (!job.spec.isService() && !headroomPlanned) {
+                planServiceHeadroom(plan, nowEpochS); // before array and gang jobs
+                headroomPlanned = true;
             }
-            int wanted = withinLimit(job, wanted(job, nowS), usage);
+            int wanted = limitToTeam(job, wantedTasks(job, nowS), usage);
             if (wanted > 0) {
-                plan(plan, job, wanted, nowEpochS);
+                planJob(plan, job, wanted, nowEpochS);
             }
         }
-        if (!headroomKept) {
-            keepHeadroom(plan, nowEpochS);
+        if (!headroomPlanned) {
+            planServiceHeadroom(plan, nowEpochS);
         }
-        return requests(plan.machinesToRent());
+        return rentalRequests(plan.machinesToRent());
     }
 
-    /** The machines on which queued work may count, with what they have to do already. */
-    private List<PlannedMachine> countedOn(Set<String> barredZones, double nowS) {
-        List<PlannedMachine> counted = new ArrayList<>();
+    /** Returns the machines that can take queued work, with the load of the tasks that already run on them. */
+    private List<PlannedMachine> usableMachines(Set<String> closedZones, double nowS) {
+        List<PlannedMachine> usable = new ArrayList<>();
         for (Machine machine : cluster.machines.values()) {
-            double readyInS = readyInS(machine, barredZones, nowS);
+            double readyInS = readyInS(machine, closedZones, nowS);
             if (Double.isNaN(readyInS)) {
                 continue;
             }
@@ -108,17 +108,17 @@
             for (Placement placement : machine.placements.values()) {
                 if (!placement.job.spec.isService()) {
                     double ranS = Double.isNaN(placement.runningSinceS) ? 0 : nowS - placement.runningSinceS;
-                    double leftS = Math.max(2, cluster.expectedRunS(placement.job) - ranS);
-                    planned.addLoad(leftS, placement.job.spec.request());
+                    double remainingS = Math.max(2, cluster.expectedRunS(placement.job) - ranS);
+                    planned.addLoad(remainingS, placement.job.spec.request());
                 }
             }
-            counted.add(planned);
+            usable.add(planned);
         }
-        return counted;
+        return usable;
     }
 
-    /** Seconds until a machine can take work, NaN if it is not to be counted on. */
-    private double readyInS(Machine machine, Set<String> barredZones, double nowS) {
+    /** Returns the seconds until a machine can take work, {@code NaN} if queued work must not be assigned to it. */
+    private double readyInS(Machine machine, Set<String> closedZones, double nowS) {
         if (machine.type == null
                 || machine.beingReturned
                 || machine.quarantined
@@ -127,44 +127,45 @@
             return Double.NaN;
         }
         if (machine.hasBooted() && cluster.silentS(machine, nowS) > leaseS) {
-            // One that the cloud still lists is likely cut off, and back before a new one is up.
-            boolean lost = machine.unlisted || Double.isNaN(machine.firstListedS) || barredZones.contains(machine.zone);
+            // A silent machine that the cloud still lists is probably cut off by the network, and will report again
+            // before a newly rented one is up.
+            boolean lost = machine.unlisted || Double.isNaN(machine.firstListedS) || closedZones.contains(machine.zone);
             return lost ? Double.NaN : machine.type.bootS();
         }
         if (machine.hasReported && machine.unreachable) {
-            // After an outage or a cut a whole zone has lost its leases and is deaf until its next two reports: rented
-            // for at once, it would be there twice.
+            // After an outage or a network partition all workers of a zone have lost their leases and are unreachable
+            // until their next two reports. Renting for them at once would replace the whole zone although it returns.
             return cluster.outOfContactS(machine, nowS) > leaseS ? Double.NaN : Constants.LEASE_RECOVERY_S;
         }
         if (machine.hasReported) {
             return zones.acceptsWork(machine.zone) ? 0 : Double.NaN;
         }
-        // What is overdue may come yet, and is used or returned then; the work that waits for it is not left to it.
-        if (!machine.hasBooted() && machine.placements.isEmpty() && boots.isOverdue(machine, nowS)) {
+        // An overdue machine may still come up, and is then used or returned; queued work does not wait for it.
+        if (!machine.hasBooted() && machine.placements.isEmpty() && bootHistory.isOverdue(machine, nowS)) {
             return Double.NaN;
         }
-        return Math.max(1, machine.rentedS + boots.expectedBootS(machine, nowS) - nowS);
+        return Math.max(1, machine.rentedS + bootHistory.expectedBootS(machine, nowS) - nowS);
     }
 
-    /** Jobs with tasks that need a machine, the most urgent first. */
-    private List<Job> waiting(double nowEpochS) {
+    /** Returns the jobs with tasks that need a machine, the most urgent first. */
+    private List<Job> waitingJobs(double nowEpochS) {
         List<Job> jobs = new ArrayList<>();
         for (Job job : cluster.jobs.values()) {
-            if (!job.cancelled && unplaced(job) > 0 && !cluster.reservations.containsKey(job.spec.id())) {
+            if (!job.cancelled && unplacedTasks(job) > 0 && !cluster.reservations.containsKey(job.spec.id())) {
                 jobs.add(job);
             }
         }
-        DisplacementOrder displacement = zones.displacementOrder(
-                job -> aims.orderKey(job.spec, job.pendingTaskCount(), cluster.expectedRunS(job), nowEpochS));
-        Comparator<Job> ordinary = Comparator.comparing((Job job) -> job.spec.priority())
+        DisplacementOrder displacementOrder = zones.displacementOrder(
+                job -> objectives.orderKey(job.spec, job.pendingTaskCount(), cluster.expectedRunS(job), nowEpochS));
+        Comparator<Job> defaultOrder = Comparator.comparing((Job job) -> job.spec.priority())
                 .reversed()
-                .thenComparingDouble(job -> aims.dueEpochS(job.spec, cluster.expectedRunS(job)));
-        jobs.sort(displacement != null ? displacement : ordinary);
+                .thenComparingDouble(job -> objectives.dueEpochS(job.spec, cluster.expectedRunS(job)));
+        jobs.sort(displacementOrder != null ? displacementOrder : defaultOrder);
         return jobs;
     }
 
-    /** Tasks that need a machine: those without one, and replicas whose machine is about to go. */
-    private static int unplaced(Job job) {
+    /** Returns the number of tasks that need a machine: pending tasks, and replicas that are being relocated. */
+    private static int unplacedTasks(Job job) {
         int unplaced = job.pendingTaskCount();
         if (job.spec.isService()) {
             for (Placement placement : job.placements.values()) {
@@ -174,16 +175,17 @@
         return unplaced;
     }
 
-    private int wanted(Job job, double nowS) {
-        return job.failureHistory.isSuspected() ? wantedForRetry(job, nowS) : unplaced(job);
+    private int wantedTasks(Job job, double nowS) {
+        return job.failureHistory.isSuspected() ? wantedForRetry(job, nowS) : unplacedTasks(job);
     }
 
     /**
-     * Tasks of a job suspected of failing everywhere that need a machine: none while it waits for its next try, or while
-     * machines are there that could hold that try, busy or not, as nothing is worth renting for it.
+     * Returns the number of tasks for which a job suspected of failing everywhere needs machines: none while it waits for
+     * its next attempt, or while existing machines could hold that attempt, even if they are busy. Renting for such a job is
+     * not worth the cost.
      */
     private int wantedForRetry(Job job, double nowS) {
-        int needed = job.spec.isGang() || job.spec.isService() ? unplaced(job) : 1;
+        int needed = job.spec.isGang() || job.spec.isService() ? unplacedTasks(job) : 1;
         if (nowS < job.pausedUntilS || !job.spec.isService() && !job.placements.isEmpty()) {
             return 0;
         }
@@ -199,8 +201,8 @@
         return slots >= needed ? 0 : needed;
     }
 
-    /** How many of the wanted tasks the team's limit allows; counts them as used. */
-    private int withinLimit(Job job, int wanted, Map<String, Resources> usage) {
+    /** Returns how many of the wanted tasks the team's limit allows, and adds these to the team's usage. */
+    private int limitToTeam(Job job, int wanted, Map<String, Resources> usage) {
         JobSpec spec = job.spec;
         Team team = cluster.team(spec.team());
         if (team == null || wanted <= 0) {
@@ -211,14 +213,14 @@
         double gpus = team.maxGpus() > 0 ? team.maxGpus() - used.gpus() : Constants.UNLIMITED;
         int allowed = Math.min(wanted, spec.request().countIn(new Resources(cpus, gpus, Constants.UNLIMITED)));
         if (allowed > 0) {
-            Resources more = new Resources(
+            Resources added = new Resources(
                     spec.request().cpus() * allowed, spec.request().gpus() * allowed, 0);
-            usage.merge(spec.team(), more, Resources::plus);
+            usage.merge(spec.team(), added, Resources::plus);
         }
         return allowed;
     }
 
-    private void plan(RentalPlan plan, Job job, int wanted, double nowEpochS) {
+    private void planJob(RentalPlan plan, Job job, int wanted, double nowEpochS) {
         JobSpec spec = job.spec;
         plan.setDeferrable(!zones.isUrgent(job));
         if (spec.isService()) {
@@ -227,30 +229,31 @@
         }
         double expectedS = cluster.expectedRunS(job);
         double horizonS = horizonS(job, nowEpochS);
-        boolean plain = spec.request().gpus() == 0;
-        int left = wanted - plan.assign(spec, expectedS, horizonS, wanted, plain);
-        left -= plan.rent(spec, expectedS, horizonS, left, plain);
-        if (left <= 0 || !plain) {
+        boolean cpuOnly = spec.request().gpus() == 0;
+        int remaining = wanted - plan.assign(spec, expectedS, horizonS, wanted, cpuOnly);
+        remaining -= plan.rent(spec, expectedS, horizonS, remaining, cpuOnly);
+        if (remaining <= 0 || !cpuOnly) {
             return;
         }
-        // Every cheap kind is exhausted: what can wait waits, the rest is worth an accelerator machine.
-        double patienceS = Math.max(horizonS, slackS(job, nowEpochS) * Constants.OVERFLOW_SLACK_SHARE);
-        left -= plan.assign(spec, expectedS, patienceS, left, true);
-        if (left <= 0) {
+        // All pools of CPU machines are exhausted: work that can wait is left to existing CPU machines, and the rest
+        // overflows to accelerator machines.
+        double overflowHorizonS = Math.max(horizonS, slackS(job, nowEpochS) * Constants.OVERFLOW_SLACK_SHARE);
+        remaining -= plan.assign(spec, expectedS, overflowHorizonS, remaining, true);
+        if (remaining <= 0) {
             return;
         }
         cluster.overflowJobs.add(spec.id());
-        left -= plan.assign(spec, expectedS, patienceS, left, false);
-        plan.rent(spec, expectedS, patienceS, left, false);
+        remaining -= plan.assign(spec, expectedS, overflowHorizonS, remaining, false);
+        plan.rent(spec, expectedS, overflowHorizonS, remaining, false);
     }
 
-    /** Seconds left until the job's tasks must start for it to be done when due. */
+    /** Returns the seconds left until the job's tasks must start for the job to be done when due. */
     private double slackS(Job job, double nowEpochS) {
         double expectedS = job.spec.isService() ? 0 : cluster.expectedRunS(job);
-        return aims.dueEpochS(job.spec, expectedS) - nowEpochS - expectedS;
+        return objectives.dueEpochS(job.spec, expectedS) - nowEpochS - expectedS;
     }
 
-    /** Seconds that a job's tasks may wait for machines that exist already. */
+    /** Returns the seconds within which existing machines must be able to run a job's tasks. */
     private double horizonS(Job job, double nowEpochS) {
         double slackS = slackS(job, nowEpochS);
         return Math.min(
@@ -259,24 +262,26 @@
     }
 
     /**
-     * Room for services that are yet to come, which cannot wait for a boot: as much as was lately asked for in the time
-     * that one takes. Work that ends may use it meanwhile; a service takes its place.
+     * Plans capacity for services that are expected to be submitted, because a service cannot wait for a machine to boot:
+     * as many replicas as were recently requested in the time of a boot. Array and gang tasks may use this capacity until a
+     * service takes their place.
      */
-    private void keepHeadroom(RentalPlan plan, double nowEpochS) {
+    private void planServiceHeadroom(RentalPlan plan, double nowEpochS) {
         services.expectedReplicas(nowEpochS).forEach((spec, replicas) -> plan.planReplicas(spec, replicas, null));
     }
 
-    /** The orders as requests, each within what one may name; the first of every kind before any second. */
-    private List<RentalRequest> requests(Map<CapacityPool, Integer> orders) {
+    /** Splits the rentals into requests of limited size; the first request of every pool precedes any second one. */
+    private List<RentalRequest> rentalRequests(Map<CapacityPool, Integer> machinesToRent) {
         List<RentalRequest> requests = new ArrayList<>();
-        for (int call = 0; call < Constants.MAX_RENTALS_PER_POOL; call++) {
-            for (Map.Entry<CapacityPool, Integer> order : orders.entrySet()) {
+        for (int requestIndex = 0; requestIndex < Constants.MAX_RENTALS_PER_POOL; requestIndex++) {
+            for (Map.Entry<CapacityPool, Integer> entry : machinesToRent.entrySet()) {
                 int count = Math.min(
-                        Constants.MAX_MACHINES_PER_RENTAL, order.getValue() - call * Constants.MAX_MACHINES_PER_RENTAL);
+                        Constants.MAX_MACHINES_PER_RENTAL,
+                        entry.getValue() - requestIndex * Constants.MAX_MACHINES_PER_RENTAL);
                 if (count > 0) {
-                    CapacityPool kind = order.getKey();
-                    String name = "h-" + cluster.token() + "-" + ++counter;
-                    requests.add(new RentalRequest(name, kind.type(), kind.zone(), kind.spot(), count));
+                    CapacityPool pool = entry.getKey();
+                    String name = "h-" + cluster.token() + "-" + ++requestCounter;
+                    requests.add(new RentalRequest(name, pool.type(), pool.zone(), pool.spot(), count));
                 }
             }
         }
--- a/src/main/java/org/mountlug/core/scale/RentalRequest.java
+++ b/src/main/java/org/mountlug/core/scale/RentalRequest.java
@@ -1,8 +1,8 @@
 package org.mountlug.core.scale;
 
-/** A request for machines; its name is unique over all time and all nodes. */
+/** A request to rent machines; no other request of any controller has or had the same name. */
 public record RentalRequest(String name, String type, String zone, boolean spot, int count) {
-    /** The kind of machine that is asked for. */
+    /** Returns the capacity pool to rent from. */
     public CapacityPool pool() {
         return new CapacityPool(type, zone, spot);
     }
--- a/src/main/java/org/mountlug/core/scale/ReturnPlanner.java
+++ b/src/main/java/org/mountlug/core/scale/ReturnPlanner.java
@@ -13,7 +13,7 @@
 import org.mountlug.core.model.Placement;
 import org.mountlug.core.zone.ZoneMonitor;
 
-/** Decides which machines to return: idle, condemned, never up, or silent beyond what is worth waiting for. */
+/** Decides which machines to return: idle, quarantined, drained, never up, or silent for longer than is worth waiting. */
 final class ReturnPlanner {
     private static final String IDLE = "idle";
 
@@ -21,7 +21,7 @@
     private final double leaseS;
     private final double reportS;
     private final double idleKeepS;
-    private final BootHistory boots;
+    private final BootHistory bootHistory;
     private final ZoneMonitor zones;
     private final ServiceDemand services;
 
@@ -30,208 +30,240 @@
             double leaseS,
             double reportS,
             double idleKeepS,
-            BootHistory boots,
+            BootHistory bootHistory,
             ZoneMonitor zones,
             ServiceDemand services) {
         this.cluster = cluster;
         this.leaseS = leaseS;
         this.reportS = reportS;
         this.idleKeepS = idleKeepS;
-        this.boots = boots;
+        this.bootHistory = bootHistory;
         this.zones = zones;
         this.services = services;
     }
 
-    /** What one decision rests on beside the machine itself. */
-    private record View(
-            Map<JobSpec, Integer> expectedReplicas,
-            Set<String> quietZones,
+    /**
+     * The state of the cluster that a decision on a machine depends on.
+     *
+     * @param spareReplicaSlots by service, how many replica slots there are beyond the expected replicas
+     * @param reservedMachines names of machines that gangs have reserved
+     * @param latestIdleByType by machine type, the machine that has been idle for the shortest time
+     * @param silenceTrusted whether silence shows that a machine failed, see {@link #isSilenceTrusted}
+     */
+    private record DecisionInputs(
+            Map<JobSpec, Integer> spareReplicaSlots,
+            Set<String> lateZones,
             Set<String> disturbedZones,
-            Set<String> reserved,
-            Map<String, Machine> lastIdle,
-            boolean trustSilence,
+            Set<String> reservedMachines,
+            Map<String, Machine> latestIdleByType,
+            boolean silenceTrusted,
             double nowS) {}
 
-    /** Machines to return now; marks them. */
+    /** Returns the names of the machines to return now, and marks these machines as being returned. */
     List<String> planReturns(double nowS, double nowEpochS) {
-        View view = view(nowS, nowEpochS);
-        int idleSubstitutes = zones.maxSubstituteReturns();
-        List<String> out = new ArrayList<>();
-        for (Machine m : cluster.machines.values()) {
-            if (m.beingReturned) {
-                out.add(m.name); // asked for before without an answer: asking again is harmless
+        DecisionInputs inputs = collectInputs(nowS, nowEpochS);
+        int substituteReturnsLeft = zones.maxSubstituteReturns();
+        List<String> returned = new ArrayList<>();
+        for (Machine machine : cluster.machines.values()) {
+            if (machine.beingReturned) {
+                returned.add(machine.name); // an earlier return was not acknowledged; repeating it is harmless
                 continue;
             }
-            String why = reason(m, view);
-            if (why == null) {
+            String reason = returnReason(machine, inputs);
+            if (reason == null) {
                 continue;
             }
-            if (why.equals(IDLE) && zones.isSubstitute(m) && idleSubstitutes-- <= 0) {
-                continue; // its zone has yet to show that it takes the work back
+            if (reason.equals(IDLE) && zones.isSubstitute(machine) && substituteReturnsLeft-- <= 0) {
+                continue; // the returning zone must first take its work back
             }
-            m.beingReturned = true;
-            cluster.addEvent("returning, " + why, m.name);
-            out.add(m.name);
+            machine.beingReturned = true;
+            cluster.addEvent("returning, " + reason, machine.name);
+            returned.add(machine.name);
         }
-        return out.size() > Constants.MAX_MACHINES_PER_RETURN ? out.subList(0, Constants.MAX_MACHINES_PER_RETURN) : out;
+        return returned.size() > Constants.MAX_MACHINES_PER_RETURN
+                ? returned.subList(0, Constants.MAX_MACHINES_PER_RETURN)
+                : returned;
     }
 
-    private View view(double nowS, double nowEpochS) {
-        Map<JobSpec, Integer> expected = services.expectedReplicas(nowEpochS);
-        expected.replaceAll((s, n) -> services.freeReplicaSlots(s) - n);
-        Set<String> quietZones = expected.isEmpty() && !services.hasServices() ? Set.of() : zones.lateZones(nowS);
-        Set<String> reserved = new HashSet<>();
-        cluster.reservations.values().forEach(l -> l.forEach(r -> reserved.add(r.machine())));
-        return new View(
-                expected, quietZones, zones.disturbedZones(nowS), reserved, lastIdle(), trustSilence(nowS), nowS);
+    private DecisionInputs collectInputs(double nowS, double nowEpochS) {
+        Map<JobSpec, Integer> spareReplicaSlots = services.expectedReplicas(nowEpochS);
+        spareReplicaSlots.replaceAll((s, n) -> services.freeReplicaSlots(s) - n);
+        Set<String> lateZones =
+                spareReplicaSlots.isEmpty() && !services.hasServices() ? Set.of() : zones.lateZones(nowS);
+        Set<String> reservedMachines = new HashSet<>();
+        cluster.reservations.values().forEach(l -> l.forEach(r -> reservedMachines.add(r.machine())));
+        return new DecisionInputs(
+                spareReplicaSlots,
+                lateZones,
+                zones.disturbedZones(nowS),
+                reservedMachines,
+                latestIdleByType(),
+                isSilenceTrusted(nowS),
+                nowS);
     }
 
-    /** Whether silence is the machines' own: when most are silent it is more likely us who cannot hear. */
-    private boolean trustSilence(double nowS) {
+    /** Whether silence shows that machines failed: if most are silent, this controller is more likely cut off itself. */
+    private boolean isSilenceTrusted(double nowS) {
         int up = 0;
         int silent = 0;
-        for (Machine m : cluster.machines.values()) {
-            if (!m.hasBooted() && m.placements.isEmpty() || m.unlisted) {
+        for (Machine machine : cluster.machines.values()) {
+            if (!machine.hasBooted() && machine.placements.isEmpty() || machine.unlisted) {
                 continue;
             }
             up++;
-            if (cluster.silentS(m, nowS) > quietS() || hearsNothing(m, nowS)) {
+            if (cluster.silentS(machine, nowS) > silenceLimitS() || isOutOfContactTooLong(machine, nowS)) {
                 silent++;
             }
         }
         return silent * 2 <= up || up <= 2;
     }
 
-    private double quietS() {
+    private double silenceLimitS() {
         return leaseS + Constants.SILENT_RETURN_MARGIN_S;
     }
 
     /**
-     * Of each type the machine that has been idle for the shortest time. Only that one is kept for a boot time: it answers
-     * the next job, and a second one seldom earns its price.
+     * Returns, for each machine type, the machine that has been idle for the shortest time. Only that one is kept longer, by
+     * half of its boot time: it can run the next job at once, and keeping a second one seldom pays off.
      */
-    private Map<String, Machine> lastIdle() {
-        Map<String, Machine> last = new HashMap<>();
-        for (Machine m : cluster.machines.values()) {
-            if (m.isSchedulable() && m.isEmpty()) {
-                last.merge(m.type.name(), m, ReturnPlanner::laterIdle);
+    private Map<String, Machine> latestIdleByType() {
+        Map<String, Machine> latestByType = new HashMap<>();
+        for (Machine machine : cluster.machines.values()) {
+            if (machine.isSchedulable() && machine.isEmpty()) {
+                latestByType.merge(machine.type.name(), machine, ReturnPlanner::laterIdle);
             }
         }
-        return last;
+        return latestByType;
     }
 
-    private static Machine laterIdle(Machine x, Machine y) {
-        if (x.idleSinceS != y.idleSinceS) {
-            return x.idleSinceS > y.idleSinceS ? x : y;
+    private static Machine laterIdle(Machine first, Machine second) {
+        if (first.idleSinceS != second.idleSinceS) {
+            return first.idleSinceS > second.idleSinceS ? first : second;
         }
-        return x.name.compareTo(y.name) < 0 ? x : y;
+        return first.name.compareTo(second.name) < 0 ? first : second;
     }
 
-    /** Why a machine is to be returned, or null. */
-    private String reason(Machine m, View view) {
-        double nowS = view.nowS;
-        if (!m.hasBooted() && m.placements.isEmpty()) {
-            return neverCameUp(m, nowS) ? "never came up" : null;
+    /** Returns why a machine is to be returned, or null if it is kept. */
+    private String returnReason(Machine machine, DecisionInputs inputs) {
+        double nowS = inputs.nowS;
+        if (!machine.hasBooted() && machine.placements.isEmpty()) {
+            return isBootTimedOut(machine, nowS) ? "never came up" : null;
         }
-        if (m.unlisted && cluster.silentS(m, nowS) > leaseS / 2) {
+        if (machine.unlisted && cluster.silentS(machine, nowS) > leaseS / 2) {
             return "taken";
         }
-        if (cluster.silentS(m, nowS) > quietS()) {
-            return view.trustSilence && cluster.silentS(m, nowS) > quietS() + worthWaitingS(m, view) ? "silent" : null;
+        if (cluster.silentS(machine, nowS) > silenceLimitS()) {
+            return inputs.silenceTrusted
+                            && cluster.silentS(machine, nowS) > silenceLimitS() + silentKeepS(machine, inputs)
+                    ? "silent"
+                    : null;
         }
-        if (hearsNothing(m, nowS)) {
-            return view.trustSilence ? "hears nothing" : null;
+        if (isOutOfContactTooLong(machine, nowS)) {
+            return inputs.silenceTrusted ? "out of contact" : null;
         }
-        if (replicasSilent(m, view.quietZones, nowS)) {
+        if (isReturnedForReplicas(machine, inputs.lateZones, nowS)) {
             return "silent, with replicas";
         }
-        if (m.quarantined && m.placements.isEmpty()) {
+        if (machine.quarantined && machine.placements.isEmpty()) {
             return "sick";
         }
-        if (m.draining && m.isEmpty()) {
+        if (machine.draining && machine.isEmpty()) {
             return "vacated";
         }
-        return idle(m, view) ? IDLE : null;
+        return isIdleTooLong(machine, inputs) ? IDLE : null;
     }
 
-    private boolean neverCameUp(Machine m, double nowS) {
-        boolean known = m.type != null && m.zone != null;
-        double giveUpS = known
-                ? boots.giveUpAfterS(m, nowS)
-                : bootS(m) * Constants.BOOT_TIMEOUT_FACTOR + Constants.BOOT_TIMEOUT_MARGIN_S;
-        if (nowS - m.rentedS <= giveUpS || cluster.listeningForS(nowS) <= leaseS) {
+    /** Whether a machine has not come up in time; if so, records the failed boot for its pool. */
+    private boolean isBootTimedOut(Machine machine, double nowS) {
+        boolean poolKnown = machine.type != null && machine.zone != null;
+        double giveUpS = poolKnown
+                ? bootHistory.giveUpAfterS(machine, nowS)
+                : bootS(machine) * Constants.BOOT_TIMEOUT_FACTOR + Constants.BOOT_TIMEOUT_MARGIN_S;
+        if (nowS - machine.rentedS <= giveUpS || cluster.listeningForS(nowS) <= leaseS) {
             return false;
         }
-        if (known) {
-            boots.recordLost(m, nowS);
+        if (poolKnown) {
+            bootHistory.recordLost(machine, nowS);
         }
         return true;
     }
 
-    private static double bootS(Machine m) {
-        return m.type == null ? Constants.DEFAULT_BOOT_S : m.type.bootS();
+    private static double bootS(Machine machine) {
+        return machine.type == null ? Constants.DEFAULT_BOOT_S : machine.type.bootS();
     }
 
-    /** A silent machine that the cloud still lists is worth waiting for as long as a new one would take to come up. */
-    private static double worthWaitingS(Machine m, View view) {
-        if (view.disturbedZones.contains(m.zone)) {
+    /**
+     * Returns for how many seconds beyond the limit a silent machine is kept. If the cloud still lists it, it is worth
+     * waiting for as long as a new machine would take to boot.
+     */
+    private static double silentKeepS(Machine machine, DecisionInputs inputs) {
+        if (inputs.disturbedZones.contains(machine.zone)) {
             return Constants.SILENT_ZONE_KEEP_S;
         }
-        return Double.isNaN(m.firstListedS) ? 0 : bootS(m) - Constants.SILENT_RETURN_MARGIN_S;
+        return Double.isNaN(machine.firstListedS) ? 0 : bootS(machine) - Constants.SILENT_RETURN_MARGIN_S;
     }
 
-    private boolean idle(Machine m, View view) {
-        if (!m.tokenConfirmed || m.unreachable || !m.isEmpty() || view.reserved.contains(m.name)) {
+    private boolean isIdleTooLong(Machine machine, DecisionInputs inputs) {
+        if (!machine.tokenConfirmed
+                || machine.unreachable
+                || !machine.isEmpty()
+                || inputs.reservedMachines.contains(machine.name)) {
             return false;
         }
-        boolean last = m.type != null && view.lastIdle.get(m.type.name()) == m;
-        return view.nowS - m.idleSinceS > idleKeepS + (last ? bootS(m) / 2 : 0)
-                && !keptForServices(m, view.expectedReplicas);
+        boolean latestIdle = machine.type != null && inputs.latestIdleByType.get(machine.type.name()) == machine;
+        return inputs.nowS - machine.idleSinceS > idleKeepS + (latestIdle ? bootS(machine) / 2 : 0)
+                && !isNeededForServices(machine, inputs.spareReplicaSlots);
     }
 
-    /** Its reports come, but answers have had no effect for so long that all it ran has lost its lease. */
-    private boolean hearsNothing(Machine m, double nowS) {
-        return m.hasReported && cluster.outOfContactS(m, nowS) > Constants.OUT_OF_CONTACT_RETURN_LEASES * leaseS;
+    /** Whether a machine reports, but responses have had no effect for so long that its worker lease must have ended. */
+    private boolean isOutOfContactTooLong(Machine machine, double nowS) {
+        return machine.hasReported
+                && cluster.outOfContactS(machine, nowS) > Constants.OUT_OF_CONTACT_RETURN_LEASES * leaseS;
     }
 
-    /** Whether returning this idle machine would leave too little room for the services to come; takes its room off. */
-    private boolean keptForServices(Machine m, Map<JobSpec, Integer> beyond) {
-        for (Map.Entry<JobSpec, Integer> e : beyond.entrySet()) {
-            int k = ServiceDemand.replicaSlots(m, e.getKey());
-            if (k > 0 && e.getValue() < k) {
+    /**
+     * Whether returning this idle machine would leave too few slots for the expected replicas of services; if not, takes its
+     * slots off the spare ones.
+     */
+    private boolean isNeededForServices(Machine machine, Map<JobSpec, Integer> spareReplicaSlots) {
+        for (Map.Entry<JobSpec, Integer> entry : spareReplicaSlots.entrySet()) {
+            int slots = ServiceDemand.replicaSlots(machine, entry.getKey());
+            if (slots > 0 && entry.getValue() < slots) {
                 return true;
             }
         }
-        beyond.replaceAll((s, n) -> n - ServiceDemand.replicaSlots(m, s));
+        spareReplicaSlots.replaceAll((s, n) -> n - ServiceDemand.replicaSlots(machine, s));
         return false;
     }
 
     /**
-     * Whether a machine that has just fallen silent is returned for its replicas' sake: the cloud's answer proves them
-     * gone long before the lease does, and each second until then is one without them. The rest of its work is lost
-     * with it, and weighed against that.
+     * Whether a machine that has just fallen silent is returned so that its replicas can be replaced early: the cloud's
+     * acknowledgement of the return proves that they have stopped, long before their lease ends. The seconds of service
+     * gained are weighed against the other work that is lost with the machine.
      */
-    private boolean replicasSilent(Machine m, Set<String> quietZones, double nowS) {
-        double silent = cluster.silentS(m, nowS);
-        if (!m.hasReported || silent <= reportS * Constants.REPLICA_SILENCE_INTERVALS || quietZones.contains(m.zone)) {
+    private boolean isReturnedForReplicas(Machine machine, Set<String> lateZones, double nowS) {
+        double silentS = cluster.silentS(machine, nowS);
+        if (!machine.hasReported
+                || silentS <= reportS * Constants.REPLICA_SILENCE_INTERVALS
+                || lateZones.contains(machine.zone)) {
             return false;
         }
         if (cluster.listeningForS(nowS) < Constants.REPLICA_SILENCE_MIN_TERM_S) {
             return false;
         }
-        double gain = 0;
-        double loss = 0;
-        for (Placement p : m.placements.values()) {
-            double ran = Double.isNaN(p.runningSinceS) ? 0 : nowS - p.runningSinceS;
-            if (p.job.spec.isService()) {
-                gain += Math.max(0, leaseS - silent);
+        double gainS = 0;
+        double lossS = 0;
+        for (Placement placement : machine.placements.values()) {
+            double ranS = Double.isNaN(placement.runningSinceS) ? 0 : nowS - placement.runningSinceS;
+            if (placement.job.spec.isService()) {
+                gainS += Math.max(0, leaseS - silentS);
             } else {
-                loss += p.job.spec.request().dominantShareOf(m.type.capacity())
-                        * (p.job.spec.checkpointIntervalS() > 0
-                                ? Math.min(ran, p.job.spec.checkpointIntervalS())
-                                : ran);
+                lossS += placement.job.spec.request().dominantShareOf(machine.type.capacity())
+                        * (placement.job.spec.checkpointIntervalS() > 0
+                                ? Math.min(ranS, placement.job.spec.checkpointIntervalS())
+                                : ranS);
             }
         }
-        return gain > loss;
+        return gainS > lossS;
     }
 }
--- a/src/main/java/org/mountlug/core/scale/Scaler.java
+++ b/src/main/java/org/mountlug/core/scale/Scaler.java
@@ -5,50 +5,57 @@
 import org.mountlug.core.model.Objectives;
 import org.mountlug.core.zone.ZoneMonitor;
 
-/** The size of the fleet: what to rent, what to return, and what to stop on machines that are about to go. */
+/** Decides which machines to rent and to return, and which tasks to stop on machines that are being drained. */
 public final class Scaler {
-    private final RentalPlanner rentals;
-    private final ReturnPlanner returns;
-    private final MachineDrainer drain;
-
-    /** Decides for the machines of this cluster; {@code spotRisk} is a factor on spot prices. */
+    private final RentalPlanner rentalPlanner;
+    private final ReturnPlanner returnPlanner;
+    private final MachineDrainer drainer;
+
+    /**
+     * Creates a scaler for the machines of this cluster.
+     *
+     * @param leaseS seconds of a worker's lease
+     * @param reportS seconds between two reports of a worker
+     * @param idleKeepS seconds for which an idle machine is kept
+     * @param spotRisk factor on spot prices for the work lost when a spot machine is reclaimed
+     */
     public Scaler(
             Cluster cluster,
             ZoneMonitor zones,
-            Objectives aims,
+            Objectives objectives,
             double leaseS,
             double reportS,
             double idleKeepS,
             double spotRisk) {
-        BootHistory boots = new BootHistory(cluster);
+        BootHistory bootHistory = new BootHistory(cluster);
         ServiceDemand services = new ServiceDemand(cluster);
-        rentals = new RentalPlanner(cluster, aims, leaseS, spotRisk, boots, zones, services);
-        returns = new ReturnPlanner(cluster, leaseS, reportS, idleKeepS, boots, zones, services);
-        drain = new MachineDrainer(cluster);
+        rentalPlanner = new RentalPlanner(cluster, objectives, leaseS, spotRisk, bootHistory, zones, services);
+        returnPlanner = new ReturnPlanner(cluster, leaseS, reportS, idleKeepS, bootHistory, zones, services);
+        drainer = new MachineDrainer(cluster);
     }
 
-    /** The cloud has no more machines of this kind for now; tells whether that is news. */
+    /** Records that the cloud has no more machines in this pool for now; returns false if that was known already. */
     public boolean recordRefused(RentalRequest rental, double nowS) {
-        return rentals.recordRefused(rental, nowS);
+        return rentalPlanner.recordRefused(rental, nowS);
     }
 
-    /** The cloud has rented all that was asked of this kind; tells whether that is news. */
+    /** Records that the cloud rented all requested machines; returns whether the pool had been recorded as refused. */
     public boolean recordServed(RentalRequest rental) {
-        return rentals.recordServed(rental);
+        return rentalPlanner.recordServed(rental);
     }
 
-    /** What to rent now. */
+    /** Returns the rental requests to send now. */
     public List<RentalRequest> planRentals(double nowS, double nowEpochS) {
-        return rentals.planRentals(nowS, nowEpochS);
+        return rentalPlanner.planRentals(nowS, nowEpochS);
     }
 
-    /** Machines to return now; marks them. */
+    /** Returns the names of the machines to return now, and marks these machines as being returned. */
     public List<String> planReturns(double nowS, double nowEpochS) {
-        return returns.planReturns(nowS, nowEpochS);
+        return returnPlanner.planReturns(nowS, nowEpochS);
     }
 
-    /** Stops what runs on machines that are about to go, in time to save it. */
+    /** Stops tasks on machines that are being drained, early enough to save their checkpoints. */
     public void drain(double nowS) {
-        drain.drain(nowS);
+        drainer.drain(nowS);
     }
 }
--- a/src/main/java/org/mountlug/core/scale/ServiceDemand.java
+++ b/src/main/java/org/mountlug/core/scale/ServiceDemand.java
@@ -10,7 +10,7 @@
 import org.mountlug.core.model.JobSpec;
 import org.mountlug.core.model.MachineType;
 
-/** How many replicas of services will soon be asked for, by what was lately asked for, and how many there is room for. */
+/** Estimates from recent submissions how many service replicas will soon be requested, and counts the slots for them. */
 final class ServiceDemand {
     private final Cluster cluster;
 
@@ -18,63 +18,69 @@
         this.cluster = cluster;
     }
 
-    /** By class of services lately asked for: its latest one, and how many replicas the time of a boot will ask for. */
+    /**
+     * Returns, for each job class with recently submitted services, the latest of these services and the number of replicas
+     * expected to be requested while a machine boots.
+     */
     Map<JobSpec, Integer> expectedReplicas(double nowEpochS) {
-        Map<String, JobSpec> latest = new LinkedHashMap<>();
-        Map<String, Integer> asked = new HashMap<>();
-        for (Job j : cluster.jobs.values()) {
-            if (!j.spec.isService() || nowEpochS - j.spec.submittedMs() / 1000.0 > Constants.SERVICE_DEMAND_WINDOW_S) {
+        Map<String, JobSpec> latestByClass = new LinkedHashMap<>();
+        Map<String, Integer> requestedByClass = new HashMap<>();
+        for (Job job : cluster.jobs.values()) {
+            if (!job.spec.isService()
+                    || nowEpochS - job.spec.submittedMs() / 1000.0 > Constants.SERVICE_DEMAND_WINDOW_S) {
                 continue;
             }
-            latest.merge(j.spec.jobClass(), j.spec, (a, b) -> a.submittedMs() > b.submittedMs() ? a : b);
-            asked.merge(j.spec.jobClass(), j.spec.tasks(), Integer::sum);
+            latestByClass.merge(job.spec.jobClass(), job.spec, (a, b) -> a.submittedMs() > b.submittedMs() ? a : b);
+            requestedByClass.merge(job.spec.jobClass(), job.spec.tasks(), Integer::sum);
         }
-        Map<JobSpec, Integer> out = new LinkedHashMap<>();
-        for (JobSpec s : latest.values()) {
-            double boot = Double.MAX_VALUE;
-            for (MachineType t : cluster.types()) {
-                if (s.canEverRunOn(t)) {
-                    boot = Math.min(boot, t.bootS());
+        Map<JobSpec, Integer> expected = new LinkedHashMap<>();
+        for (JobSpec spec : latestByClass.values()) {
+            double minBootS = Double.MAX_VALUE;
+            for (MachineType type : cluster.types()) {
+                if (spec.canEverRunOn(type)) {
+                    minBootS = Math.min(minBootS, type.bootS());
                 }
             }
-            double n =
-                    asked.get(s.jobClass()) / Constants.SERVICE_DEMAND_WINDOW_S * (boot + Constants.SERVICE_HEADROOM_S);
-            out.put(s, Math.max(s.tasks(), (int) Math.ceil(n)));
+            double replicas = requestedByClass.get(spec.jobClass())
+                    / Constants.SERVICE_DEMAND_WINDOW_S
+                    * (minBootS + Constants.SERVICE_HEADROOM_S);
+            expected.put(spec, Math.max(spec.tasks(), (int) Math.ceil(replicas)));
         }
-        return out;
+        return expected;
     }
 
     /** Whether any service is live. */
     boolean hasServices() {
-        for (Job j : cluster.jobs.values()) {
-            if (j.spec.isService()) {
+        for (Job job : cluster.jobs.values()) {
+            if (job.spec.isService()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** How many replicas machines could hold that are there or coming, if all that ends made room for them. */
-    int freeReplicaSlots(JobSpec s) {
-        int n = 0;
-        for (Machine m : cluster.machines.values()) {
-            n += replicaSlots(m, s);
+    /** Returns how many replicas the machines that are up or boot could hold if all array and gang tasks were gone. */
+    int freeReplicaSlots(JobSpec spec) {
+        int slots = 0;
+        for (Machine machine : cluster.machines.values()) {
+            slots += replicaSlots(machine, spec);
         }
-        return n;
+        return slots;
     }
 
-    /** How many replicas this machine could hold. */
-    static int replicaSlots(Machine m, JobSpec s) {
-        if (m.type == null
-                || m.beingReturned
-                || m.quarantined
-                || !Double.isNaN(m.reclaimAtS)
-                || m.hasReported && m.unreachable) {
+    /** Returns how many replicas this machine could hold beside those it has, ignoring array and gang tasks. */
+    static int replicaSlots(Machine machine, JobSpec spec) {
+        if (machine.type == null
+                || machine.beingReturned
+                || machine.quarantined
+                || !Double.isNaN(machine.reclaimAtS)
+                || machine.hasReported && machine.unreachable) {
             return 0;
         }
-        if (s.request().gpus() == 0 && m.type.capacity().gpus() > 0 || !s.allows(m.type.name(), m.zone, m.spot)) {
+        if (spec.request().gpus() == 0 && machine.type.capacity().gpus() > 0
+                || !spec.allows(machine.type.name(), machine.zone, machine.spot)) {
             return 0;
         }
-        return s.request().countIn(m.type.capacity().minus(m.allocatedToServices()));
+        return spec.request().countIn(machine.type.capacity().minus(machine.allocatedToServices()));
     }
 }
--- a/src/main/java/org/mountlug/core/scale/UnplaceableDemand.java
+++ b/src/main/java/org/mountlug/core/scale/UnplaceableDemand.java
@@ -8,41 +8,42 @@
 import org.mountlug.core.model.Resources;
 
 /**
- * Demand that the machines that are up could not take while queued work was laid over them. They only fill up, so demand
- * that needs as much room for as long, and may wait no longer, cannot be taken either.
+ * Demand that the machines that are up could not take during a rental decision. Their free capacity only shrinks during the
+ * decision, so demand that requests at least as much for at least as long, and may not wait longer, cannot be taken either.
  */
 final class UnplaceableDemand {
-    private record Rules(List<String> types, String zone, boolean spot, boolean gang, boolean cpuOnly) {
-        static Rules of(JobSpec spec, boolean plainOnly) {
-            return new Rules(spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.isGang(), plainOnly);
+    private record PlacementRules(List<String> types, String zone, boolean spot, boolean gang, boolean cpuOnly) {
+        static PlacementRules of(JobSpec spec, boolean cpuOnly) {
+            return new PlacementRules(spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.isGang(), cpuOnly);
         }
     }
 
-    private record Demand(Resources need, double expectedS, double horizonS) {
-        /** Whether the other one asks for as much or more. */
-        boolean within(Demand other) {
-            return need.fitsIn(other.need) && expectedS <= other.expectedS && horizonS >= other.horizonS;
+    private record Demand(Resources request, double expectedS, double horizonS) {
+        /** Whether the other demand requests at least as much, runs at least as long and may not wait longer. */
+        boolean isNoHarderThan(Demand other) {
+            return request.fitsIn(other.request) && expectedS <= other.expectedS && horizonS >= other.horizonS;
         }
     }
 
-    private final Map<Rules, List<Demand>> refused = new HashMap<>();
+    private final Map<PlacementRules, List<Demand>> unplaceable = new HashMap<>();
 
-    /** Whether it is known already that none of it can be taken. */
+    /** Whether demand already recorded implies that none of these tasks can be taken. */
     boolean covers(JobSpec spec, double expectedS, double horizonS, boolean cpuOnly) {
         Demand demand = new Demand(spec.request(), expectedS, horizonS);
-        for (Demand less : refused.getOrDefault(Rules.of(spec, cpuOnly), List.of())) {
-            if (less.within(demand)) {
+        for (Demand known : unplaceable.getOrDefault(PlacementRules.of(spec, cpuOnly), List.of())) {
+            if (known.isNoHarderThan(demand)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** None of it could be taken. */
+    /** Records that none of these tasks could be taken. */
     void add(JobSpec spec, double expectedS, double horizonS, boolean cpuOnly) {
         Demand demand = new Demand(spec.request(), expectedS, horizonS);
-        List<Demand> known = refused.computeIfAbsent(Rules.of(spec, cpuOnly), rules -> new ArrayList<>());
-        known.removeIf(demand::within);
-        known.add(demand);
+        List<Demand> demands =
+                unplaceable.computeIfAbsent(PlacementRules.of(spec, cpuOnly), rules -> new ArrayList<>());
+        demands.removeIf(demand::isNoHarderThan);
+        demands.add(demand);
     }
 }
--- a/src/main/java/org/mountlug/core/scale/package-info.java
+++ b/src/main/java/org/mountlug/core/scale/package-info.java
@@ -1,2 +1,2 @@
-/** Which machines are rented and returned. */
+/** Decisions on which machines to rent, drain and return. */
 package org.mountlug.core.scale;
