--- a/src/main/java/org/mountlug/core/zone/DisplacementOrder.java
+++ b/src/main/java/org/mountlug/core/zone/DisplacementOrder.java
@@ -7,28 +7,33 @@
 import org.mountlug.core.model.Priority;
 
 /**
- * The total order in which waiting work is placed, rented for and given room by preemption while a zone is lost or returning:
- * classes that the operators name, in their order; then by priority; then by when the job is due, jobs that can no longer be
- * in time after those that can; then the oldest first.
+ * The total order in which waiting jobs are placed, get rented machines and may preempt others while a zone is not present:
+ * first the job classes that the operators name, in their order; then by priority; then by due time, where jobs that can no
+ * longer be done in time follow those that can; then the oldest job first.
  */
 public final class DisplacementOrder implements Comparator<Job> {
     private final List<String> classes;
     private final Comparator<Job> comparator;
 
-    /** Places these classes ahead of all others; {@code dueOrder} is lower the sooner a job must be done. */
-    public DisplacementOrder(List<String> classes, ToDoubleFunction<Job> dueOrder) {
+    /**
+     * Creates an order that puts some job classes ahead of all others.
+     *
+     * @param classes names of these job classes, the first one first
+     * @param orderKey lower for a job that is to be done sooner
+     */
+    public DisplacementOrder(List<String> classes, ToDoubleFunction<Job> orderKey) {
         this.classes = classes;
         comparator = Comparator.comparingInt(this::level)
-                .thenComparingDouble(dueOrder)
+                .thenComparingDouble(orderKey)
                 .thenComparingLong(job -> job.spec.submittedMs())
                 .thenComparing(job -> job.spec.id());
     }
 
-    /** The rank of a job's class or priority, the first one 0: nothing of a later level goes ahead of an earlier one. */
+    /** Returns the rank of a job's class or priority, 0 for the first; no job precedes one of a lower rank. */
     public int level(Job job) {
-        int named = classes.indexOf(job.spec.jobClass());
-        if (named >= 0) {
-            return named;
+        int classIndex = classes.indexOf(job.spec.jobClass());
+        if (classIndex >= 0) {
+            return classIndex;
         }
         return classes.size()
                 + Priority.values().length
@@ -36,7 +41,7 @@
                 - job.spec.priority().ordinal();
     }
 
-    /** Whether a job is urgent enough for machines to be rented for it at once, however long the zone may stay away. */
+    /** Whether a job is so urgent that machines are rented for it at once, without waiting for the zone to return. */
     static boolean isUrgent(Job job, List<String> classes) {
         return classes.contains(job.spec.jobClass()) || job.spec.priority().compareTo(Priority.HIGH) >= 0;
     }
--- a/src/main/java/org/mountlug/core/zone/FailbackPlanner.java
+++ b/src/main/java/org/mountlug/core/zone/FailbackPlanner.java
@@ -13,47 +13,47 @@
 import org.mountlug.core.model.Resources;
 
 /**
- * Empties substitutes into a returning zone where that is cheap and pays: all that runs on the substitute can be stopped
- * without loss, an idle machine of the zone takes it, and what is saved on the substitute's price is more than the move
- * costs. Whatever else runs elsewhere ends there.
+ * Moves the work of substitute machines back to a returning zone if all tasks on the substitute can be stopped at little
+ * cost, an idle machine of the zone has capacity for them, and the lower price there saves more than the move costs. All
+ * other work on substitutes ends where it runs.
  */
 final class FailbackPlanner {
-    private static final double S_PER_HOUR = 3600;
+    private static final double SECONDS_PER_HOUR = 3600;
 
     private final Cluster cluster;
-    /** Machines that are being emptied, by the zone for which. */
-    private final Map<Machine, String> vacating = new HashMap<>();
+    /** Substitutes that are being drained, with the zone that their work moves back to. */
+    private final Map<Machine, String> zoneByDrainingMachine = new HashMap<>();
 
     FailbackPlanner(Cluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Chooses substitutes to be emptied, as many at a time as the ramp of the zone allows. */
+    /** Starts to drain substitutes, as many at a time as the ramp of the zone allows. */
     void planMoves(String zone, ZoneTracker tracker, double nowS) {
-        vacating.keySet().removeIf(machine -> cluster.machines.get(machine.name) != machine);
-        int most = Math.max(1, (int) (tracker.ramp().window() * Constants.Zones.CONCURRENT_MOVES_SHARE));
-        Set<Machine> taken = new HashSet<>();
+        zoneByDrainingMachine.keySet().removeIf(machine -> cluster.machines.get(machine.name) != machine);
+        int maxDraining = Math.max(1, (int) (tracker.ramp().window() * Constants.Zones.CONCURRENT_MOVES_SHARE));
+        Set<Machine> chosenTargets = new HashSet<>();
         for (Machine machine : cluster.machines.values()) {
-            if (vacating.size() >= most) {
+            if (zoneByDrainingMachine.size() >= maxDraining) {
                 return;
             }
             boolean candidate = machine.isSchedulable() && !machine.isEmpty() && machine.orphans.isEmpty();
             if (!candidate || !SubstituteMachines.isSubstitute(machine, zone, tracker)) {
                 continue;
             }
-            Machine home = home(machine, zone, taken, nowS);
-            if (home != null) {
-                taken.add(home);
-                vacating.put(machine, zone);
+            Machine target = findTarget(machine, zone, chosenTargets, nowS);
+            if (target != null) {
+                chosenTargets.add(target);
+                zoneByDrainingMachine.put(machine, zone);
                 machine.draining = true;
                 cluster.addEvent("vacating, its work moves back to " + zone, machine.name);
             }
         }
     }
 
-    /** The zone is gone again: what was to move there stays. */
+    /** Stops draining the substitutes of a zone that is lost again; the work that is left on them stays there. */
     void cancel(String zone) {
-        vacating.entrySet().removeIf(entry -> {
+        zoneByDrainingMachine.entrySet().removeIf(entry -> {
             if (entry.getValue().equals(zone)) {
                 entry.getKey().draining = false;
                 return true;
@@ -62,39 +62,40 @@
         });
     }
 
-    private Machine home(Machine substitute, String zone, Set<Machine> taken, double nowS) {
-        double leftS = 0;
-        double moveS = 0;
-        Resources needed = Resources.ZERO;
+    /** Returns an idle machine of the zone to which moving the substitute's work pays off, or null. */
+    private Machine findTarget(Machine substitute, String zone, Set<Machine> chosenTargets, double nowS) {
+        double remainingS = 0;
+        double moveDurationS = 0;
+        Resources requested = Resources.ZERO;
         for (Placement placement : substitute.placements.values()) {
-            if (!movable(placement)) {
+            if (!isMovable(placement)) {
                 return null;
             }
-            leftS = Math.max(leftS, leftS(placement, nowS));
-            moveS = Math.max(moveS, moveS(placement, substitute));
-            needed = needed.plus(placement.job.spec.request());
+            remainingS = Math.max(remainingS, remainingS(placement, nowS));
+            moveDurationS = Math.max(moveDurationS, moveDurationS(placement, substitute));
+            requested = requested.plus(placement.job.spec.request());
         }
-        if (leftS < Constants.Zones.MIN_MOVE_REMAINING_S) {
+        if (remainingS < Constants.Zones.MIN_MOVE_REMAINING_S) {
             return null;
         }
         for (Machine machine : cluster.machines.values()) {
             boolean idle = zone.equals(machine.zone) && machine.isSchedulable() && machine.isEmpty();
             if (idle
-                    && !taken.contains(machine)
-                    && needed.fitsIn(machine.type.capacity())
-                    && allowsAll(machine, substitute)
-                    && gain(substitute, machine, leftS, moveS) > 0) {
+                    && !chosenTargets.contains(machine)
+                    && requested.fitsIn(machine.type.capacity())
+                    && allJobsAllow(machine, substitute)
+                    && savings(substitute, machine, remainingS, moveDurationS) > 0) {
                 return machine;
             }
         }
         return null;
     }
 
-    /** Whether a task can be stopped at little cost, and its job's rules of place let it move by itself. */
-    private static boolean movable(Placement placement) {
+    /** Whether a task can be stopped at little cost, and its job's placement rules allow it to move on its own. */
+    private static boolean isMovable(Placement placement) {
         JobSpec spec = placement.job.spec;
-        boolean cheap = spec.isService() || spec.checkpointIntervalS() > 0 || spec.priority() == Priority.IDLE;
-        return cheap
+        boolean cheapToStop = spec.isService() || spec.checkpointIntervalS() > 0 || spec.priority() == Priority.IDLE;
+        return cheapToStop
                 && !spec.isGang()
                 && !spec.oneZone()
                 && !spec.spreadAcrossZones()
@@ -102,7 +103,7 @@
                 && !placement.standby;
     }
 
-    private double leftS(Placement placement, double nowS) {
+    private double remainingS(Placement placement, double nowS) {
         if (placement.job.spec.isService()) {
             return Constants.ASSUMED_SERVICE_RENTAL_S;
         }
@@ -110,26 +111,26 @@
         return cluster.expectedRunS(placement.job) - ranS;
     }
 
-    private static double moveS(Placement placement, Machine substitute) {
+    private static double moveDurationS(Placement placement, Machine substitute) {
         JobSpec spec = placement.job.spec;
         double fetchS = spec.imageGb() / Math.max(0.01, substitute.type.fetchGbPerS());
         return spec.checkpointSaveS() + fetchS + Constants.Zones.MOVE_OVERHEAD_S;
     }
 
-    private static boolean allowsAll(Machine home, Machine substitute) {
+    private static boolean allJobsAllow(Machine target, Machine substitute) {
         for (Placement placement : substitute.placements.values()) {
-            if (!placement.job.spec.allows(home.type.name(), home.zone, home.spot)) {
+            if (!placement.job.spec.allows(target.type.name(), target.zone, target.spot)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** What the move saves, in money. */
-    private static double gain(Machine substitute, Machine home, double leftS, double moveS) {
-        double stays = substitute.type.pricePerHour(substitute.spot) * leftS;
-        double moves = home.type.pricePerHour(home.spot) * (leftS + moveS)
-                + substitute.type.pricePerHour(substitute.spot) * moveS;
-        return (stays - moves) / S_PER_HOUR;
+    /** Returns the money that the move saves, negative if it costs more than it saves. */
+    private static double savings(Machine substitute, Machine target, double remainingS, double moveDurationS) {
+        double costIfKept = substitute.type.pricePerHour(substitute.spot) * remainingS;
+        double costIfMoved = target.type.pricePerHour(target.spot) * (remainingS + moveDurationS)
+                + substitute.type.pricePerHour(substitute.spot) * moveDurationS;
+        return (costIfKept - costIfMoved) / SECONDS_PER_HOUR;
     }
 }
--- a/src/main/java/org/mountlug/core/zone/RampSettings.java
+++ b/src/main/java/org/mountlug/core/zone/RampSettings.java
@@ -3,20 +3,20 @@
 import org.mountlug.Constants;
 
 /**
- * The pace of a return. Shares are of the machines heard in the zone.
+ * How fast a returning zone gets work. All values are shares of the number of reporting machines in the zone.
  *
- * @param startShare starts under way that a zone is admitted at first
- * @param growShare by how much that grows each second in which nothing fails
- * @param downloadsShare image downloads that may be under way at the same time
+ * @param startShare initial limit on starts in progress
+ * @param growShare growth of this limit in each second without failures
+ * @param downloadsShare limit on image downloads in progress
  */
 public record RampSettings(double startShare, double growShare, double downloadsShare) {
-    /** The values in force without a setting. */
+    /** Returns the values that apply without a setting. */
     public static RampSettings defaults() {
         return new RampSettings(
                 Constants.Zones.RAMP_START_SHARE, Constants.Zones.RAMP_GROW_SHARE, Constants.Zones.DOWNLOADS_SHARE);
     }
 
-    /** This share of the machines, one at the least. */
+    /** Returns this share of the machines, rounded up and at least 1. */
     static int atLeastOne(double share, int machines) {
         return Math.max(1, (int) Math.ceil(share * machines));
     }
--- a/src/main/java/org/mountlug/core/zone/ReturnRamp.java
+++ b/src/main/java/org/mountlug/core/zone/ReturnRamp.java
@@ -3,76 +3,79 @@
 import org.mountlug.Constants;
 
 /**
- * The pace at which a returning zone gets work: a window of starts that may be under way there at the same time. It grows by
- * addition while starts succeed and machines stay up, and is halved at once when they do not (additive increase,
- * multiplicative decrease), so a zone that takes work well is full again within seconds and one that does not gets little.
+ * Limits the work that a returning zone gets by a window of starts that may be in progress there at the same time. The window
+ * grows by addition while starts succeed and machines keep reporting, and is halved at once when a start is lost or many
+ * machines are late (additive increase, multiplicative decrease). So a zone that works well is full again within seconds, and
+ * one that does not gets little work.
  */
 final class ReturnRamp {
-    private final RampSettings limits;
+    private final RampSettings settings;
     private double window;
-    /** Machines heard in the zone when it was last looked at, which bound the window. */
-    private int machines;
+    /** Upper bound of the window: machines that reported in the zone at the last step. */
+    private int reportingMachines;
 
     private double nextStepS = Double.NEGATIVE_INFINITY;
-    /** The starts as of the last step, null before the first. */
-    private ZoneStarts before;
+    /** The starts as of the last step; null before the first step of a ramp that was restored. */
+    private ZoneStarts previousStarts;
 
-    /** A ramp that an earlier leader had taken to this window, in a zone with so many machines. */
-    ReturnRamp(RampSettings limits, double window, int machines) {
-        this.limits = limits;
+    /** Restores the ramp of an earlier leader. */
+    ReturnRamp(RampSettings settings, double window, int reportingMachines) {
+        this.settings = settings;
         this.window = window;
-        this.machines = Math.max(1, machines);
+        this.reportingMachines = Math.max(1, reportingMachines);
     }
 
-    /** A ramp at its beginning for a zone with so many machines heard, and its starts as of now. */
-    static ReturnRamp start(RampSettings limits, int heard, ZoneStarts starts) {
-        ReturnRamp ramp = new ReturnRamp(limits, RampSettings.atLeastOne(limits.startShare(), heard), heard);
-        ramp.before = starts;
+    /** Returns a ramp at its initial window, for a zone with this number of reporting machines and these starts. */
+    static ReturnRamp start(RampSettings settings, int reporting, ZoneStarts starts) {
+        ReturnRamp ramp =
+                new ReturnRamp(settings, RampSettings.atLeastOne(settings.startShare(), reporting), reporting);
+        ramp.previousStarts = starts;
         return ramp;
     }
 
     /**
-     * Takes in what has happened since the last step, at most once a second.
+     * Adapts the window to the starts and the machines since the last step, at most once a second.
      *
-     * @param allMachinesKnown whether this leader knows of all machines, so that fewer heard than before are fewer indeed
+     * @param allMachinesKnown whether this leader knows of all machines; if not, a lower number of reporting machines does
+     *     not lower the bound of the window
      */
     void step(ZoneCounts counts, ZoneStarts starts, boolean allMachinesKnown, double nowS) {
         if (nowS < nextStepS) {
             return;
         }
         nextStepS = nowS + Constants.Zones.RAMP_STEP_S;
-        machines = Math.max(allMachinesKnown ? 1 : machines, counts.reporting());
-        if (fails(counts, starts)) {
+        reportingMachines = Math.max(allMachinesKnown ? 1 : reportingMachines, counts.reporting());
+        if (hasFailures(counts, starts)) {
             window = Math.max(1, window / 2);
-        } else if (gainsGround(starts)) {
-            window += RampSettings.atLeastOne(limits.growShare(), machines);
+        } else if (makesProgress(starts)) {
+            window += RampSettings.atLeastOne(settings.growShare(), reportingMachines);
         }
-        window = Math.min(window, machines);
-        before = starts;
+        window = Math.min(window, reportingMachines);
+        previousStarts = starts;
     }
 
-    private boolean fails(ZoneCounts counts, ZoneStarts starts) {
-        boolean lostStart = before != null && starts.lost() > before.lost();
-        return lostStart || counts.hasManyLate(Constants.Zones.RAMP_QUIET_SHARE);
+    private boolean hasFailures(ZoneCounts counts, ZoneStarts starts) {
+        boolean startLost = previousStarts != null && starts.lost() > previousStarts.lost();
+        return startLost || counts.hasManyLate(Constants.Zones.RAMP_QUIET_SHARE);
     }
 
-    /** Whether starts succeed, or there are none that could fail. */
-    private boolean gainsGround(ZoneStarts starts) {
-        return before != null && (starts.succeeded() > before.succeeded() || starts.inProgress() == 0);
+    /** Whether starts succeeded since the last step, or none is in progress. */
+    private boolean makesProgress(ZoneStarts starts) {
+        return previousStarts != null && (starts.succeeded() > previousStarts.succeeded() || starts.inProgress() == 0);
     }
 
-    /** Starts that may be under way. */
+    /** Returns the number of starts that may be in progress. */
     double window() {
         return window;
     }
 
-    /** Whether it holds nothing back any more. */
+    /** Whether the window has reached its upper bound, so that the ramp limits nothing any more. */
     boolean isFull() {
-        return window >= machines;
+        return window >= reportingMachines;
     }
 
-    /** Image downloads that may be under way. */
+    /** Returns the number of image downloads that may be in progress. */
     int maxDownloads() {
-        return RampSettings.atLeastOne(limits.downloadsShare(), machines);
+        return RampSettings.atLeastOne(settings.downloadsShare(), reportingMachines);
     }
 }
--- a/src/main/java/org/mountlug/core/zone/StartBudget.java
+++ b/src/main/java/org/mountlug/core/zone/StartBudget.java
@@ -1,26 +1,26 @@
 package org.mountlug.core.zone;
 
-/** How many more starts one round may place in a returning zone; shared by the zone's machines in the view of the round. */
+/** Counts the starts that one allocation round may still place in a returning zone; shared by all machines of the zone. */
 public final class StartBudget {
-    private int left;
+    private int remaining;
 
-    /** A budget of so many starts, none if negative. */
+    /** Creates a budget of this number of starts; a negative number counts as 0. */
     public StartBudget(int starts) {
-        left = Math.max(0, starts);
+        remaining = Math.max(0, starts);
     }
 
-    /** How many starts are left. */
+    /** Returns how many starts are left. */
     public int left() {
-        return left;
+        return remaining;
     }
 
-    /** Takes one start. */
+    /** Uses up one start. */
     public void take() {
-        left--;
+        remaining--;
     }
 
-    /** Gives back a start that was tried and not kept. */
+    /** Returns one start to the budget, after a tentative placement was undone. */
     public void giveBack() {
-        left++;
+        remaining++;
     }
 }
--- a/src/main/java/org/mountlug/core/zone/SubstituteMachines.java
+++ b/src/main/java/org/mountlug/core/zone/SubstituteMachines.java
@@ -6,8 +6,8 @@
 import org.mountlug.core.cluster.Machine;
 
 /**
- * Machines rented elsewhere while a zone was away. Which ones they are follows from when they were rented, so a new leader
- * knows them too.
+ * Finds substitutes: machines rented in other zones while a zone was absent. They are recognized by the time of their rental,
+ * so a new leader recognizes them as well.
  */
 final class SubstituteMachines {
     private final Cluster cluster;
@@ -16,22 +16,24 @@
         this.cluster = cluster;
     }
 
-    /** Whether a machine was rented elsewhere while this zone was away. */
+    /** Whether a machine was rented in another zone while this zone was absent and before it began to return. */
     static boolean isSubstitute(Machine machine, String zone, ZoneTracker tracker) {
         if (machine.zone == null || machine.zone.equals(zone) || tracker.state() == ZoneState.PRESENT) {
             return false;
         }
-        boolean sinceTrouble = machine.rentedS >= tracker.absentSinceS();
-        return sinceTrouble && (tracker.state() != ZoneState.RETURNING || machine.rentedS <= tracker.stateSinceS());
+        boolean rentedSinceAbsence = machine.rentedS >= tracker.absentSinceS();
+        return rentedSinceAbsence
+                && (tracker.state() != ZoneState.RETURNING || machine.rentedS <= tracker.stateSinceS());
     }
 
     /**
-     * How many more substitutes may be rented for work that is not urgent; without limit once the loss has lasted. A zone is often back before a machine has booted,
-     * so only a part of its machines is replaced at once, and the rest as the loss lasts.
+     * Returns how many more substitutes may be rented for work that is not urgent; {@link Integer#MAX_VALUE} once the zone
+     * has been absent for long. A zone is often back before a new machine has booted, so only a part of its machines is
+     * replaced at once, and the rest gradually while the zone stays absent.
      */
     int maxRentals(String zone, ZoneTracker tracker, double nowS) {
-        double awayS = nowS - tracker.absentSinceS();
-        double share = Constants.Zones.IMMEDIATE_SUBSTITUTE_SHARE + awayS / Constants.Zones.FULL_SUBSTITUTION_S;
+        double absentS = nowS - tracker.absentSinceS();
+        double share = Constants.Zones.IMMEDIATE_SUBSTITUTE_SHARE + absentS / Constants.Zones.FULL_SUBSTITUTION_S;
         if (share >= 1) {
             return Integer.MAX_VALUE;
         }
@@ -43,15 +45,15 @@
         return Math.max(0, allowed - rented);
     }
 
-    /** How many idle substitutes may be returned in a round while zones return; without limit if none does. */
+    /** Returns how many idle substitutes may be returned in a round; {@link Integer#MAX_VALUE} if no zone is returning. */
     static int maxReturns(Collection<ZoneTracker> trackers) {
-        int most = Integer.MAX_VALUE;
+        int limit = Integer.MAX_VALUE;
         for (ZoneTracker tracker : trackers) {
             if (tracker.ramp() != null) {
-                double pace = tracker.ramp().window() * Constants.Zones.SUBSTITUTE_RETURN_SHARE;
-                most = Math.min(most, Math.max(1, (int) Math.ceil(pace)));
+                double returnsPerRound = tracker.ramp().window() * Constants.Zones.SUBSTITUTE_RETURN_SHARE;
+                limit = Math.min(limit, Math.max(1, (int) Math.ceil(returnsPerRound)));
             }
         }
-        return most;
+        return limit;
     }
 }
--- a/src/main/java/org/mountlug/core/zone/ZoneEvidence.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneEvidence.java
@@ -1,32 +1,33 @@
 package org.mountlug.core.zone;
 
-/** What the machines of a zone show at one moment. */
+/** The condition of a zone at one moment, as derived from the reports and the silence of its machines. */
 public enum ZoneEvidence {
-    /** Too few machines to tell a zone from its machines. */
+    /** The zone has too few machines to tell a fault of the zone from faults of single machines. */
     TOO_FEW,
-    /** Neither silent for long enough nor heard again, as in the first seconds of a leader's term. */
+    /** Too few machines are silent and too few are reporting, as in the first seconds of a leader's term. */
     UNDECIDED,
-    /** Nearly all machines are heard. */
+    /** Nearly all machines are reporting. */
     REPORTING,
-    /** Some are silent, fewer than make a zone suspect. */
+    /** Some machines are silent, but fewer than make a zone suspect. */
     PARTLY_SILENT,
-    /** Most are silent, or all are but more than this zone is silent, so that the fault may be the leader's own. */
+    /** Most machines are silent; or the zone as a whole is, but the fault may be the leader's own. */
     MOSTLY_SILENT,
-    /** The zone as a whole is silent, and it alone. */
+    /** The zone as a whole is silent, and the fault is attributed to the zone. */
     SILENT;
 
     /**
-     * Judges a zone by its machines.
+     * Returns the evidence that the counts of a zone give.
      *
-     * @param attributable whether silence can be the zone's: other zones are heard, and no peer hears this one's workers
+     * @param silenceAttributable whether silence can be a fault of the zone: other zones report, and the silent workers do
+     *     not report to peers
      */
-    public static ZoneEvidence of(ZoneCounts counts, boolean attributable, ZoneThresholds thresholds) {
+    public static ZoneEvidence of(ZoneCounts counts, boolean silenceAttributable, ZoneThresholds thresholds) {
         int machines = counts.machines();
         if (machines < thresholds.minMachines()) {
             return TOO_FEW;
         }
         if (counts.silent() >= machines * thresholds.lostShare()) {
-            return attributable ? SILENT : MOSTLY_SILENT;
+            return silenceAttributable ? SILENT : MOSTLY_SILENT;
         }
         if (counts.silent() > machines * thresholds.suspectShare()) {
             return MOSTLY_SILENT;
--- a/src/main/java/org/mountlug/core/zone/ZoneMachineCounter.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneMachineCounter.java
@@ -8,7 +8,7 @@
 import org.mountlug.core.cluster.Cluster;
 import org.mountlug.core.cluster.Machine;
 
-/** Counts the machines of each zone by their silence: the one place where silence is looked at zone by zone. */
+/** Counts the reporting, late and silent machines of each zone. */
 final class ZoneMachineCounter {
     private final Cluster cluster;
     private final double leaseS;
@@ -20,31 +20,34 @@
         this.reportS = reportS;
     }
 
-    /** Machines by zone; zones without a machine that has come up are left out. */
+    /** Returns the counts of each zone; zones without a machine that has come up are left out. */
     Map<String, ZoneCounts> count(double nowS) {
-        Map<String, Tally> zones = new HashMap<>();
+        Map<String, Tally> tallies = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
             if (machine.hasBooted() && !machine.unlisted && machine.zone != null) {
-                zones.computeIfAbsent(machine.zone, zone -> new Tally()).add(machine, nowS);
+                tallies.computeIfAbsent(machine.zone, zone -> new Tally()).add(machine, nowS);
             }
         }
         Map<String, ZoneCounts> counts = new HashMap<>();
-        zones.forEach((zone, tally) -> counts.put(zone, tally.counts()));
+        tallies.forEach((zone, tally) -> counts.put(zone, tally.counts()));
         return counts;
     }
 
-    /** Zones in which more machines are quiet than fail by themselves: there it is the network, or we. */
+    /**
+     * Returns the zones in which more machines are late than would be by independent failures, so that the network or this
+     * controller is the likely cause.
+     */
     Set<String> lateZones(double nowS) {
-        Set<String> quiet = new HashSet<>();
+        Set<String> late = new HashSet<>();
         count(nowS).forEach((zone, counts) -> {
             if (counts.hasManyLate(Constants.REPLICA_SILENCE_MAX_SHARE)) {
-                quiet.add(zone);
+                late.add(zone);
             }
         });
-        return quiet;
+        return late;
     }
 
-    /** Zones most of whose machines are silent. */
+    /** Returns the zones in which most machines are silent. */
     Set<String> mostlySilentZones(ZoneThresholds thresholds, double nowS) {
         Set<String> silent = new HashSet<>();
         count(nowS).forEach((zone, counts) -> {
@@ -74,7 +77,8 @@
                     && cluster.hasReportedSinceListening(machine)) {
                 reporting++;
             }
-            // Half the time already tells: what falls silent together does so within a report interval.
+            // Half of the silence after which a single machine is given up: machines that a common fault silences
+            // all fall silent within one report interval.
             if (machine.hasReported && silentS > reportS * Constants.REPLICA_SILENCE_INTERVALS / 2) {
                 late++;
             }
--- a/src/main/java/org/mountlug/core/zone/ZoneMonitor.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneMonitor.java
@@ -17,8 +17,9 @@
 import org.mountlug.core.model.Placement;
 
 /**
- * The zones of one leader's term: their states, and what follows from these for placing, renting, returning and moving. With
- * tracking disabled a zone is judged by its silence of the moment, and nothing follows but that nothing is rented there.
+ * Tracks the states of the zones during a leader's term, and derives from them limits on placing work and on renting,
+ * returning and draining machines. With tracking disabled, the only effects are that no machines are rented in a zone most of
+ * whose machines are silent at the moment, and that its silent machines are kept for longer.
  */
 public final class ZoneMonitor {
     private final Cluster cluster;
@@ -29,13 +30,18 @@
     private final FailbackPlanner failback;
     private final Map<String, ZoneTracker> trackers = new TreeMap<>();
     private final List<String> transitions = new ArrayList<>();
-    private Map<String, ZoneCounts> counts = Map.of();
-    private final Map<String, UnderWay> underWay = new HashMap<>();
+    private Map<String, ZoneCounts> countsByZone = Map.of();
+    private final Map<String, StartsInProgress> startsByZone = new HashMap<>();
 
-    /** Starts under way in a zone, and images that machines there fetch for them. */
-    private record UnderWay(int starts, int downloads) {}
+    /** Starts in progress in a zone, and the image downloads of its machines for these starts. */
+    private record StartsInProgress(int starts, int downloads) {}
 
-    /** Watches the zones of this cluster's machines. */
+    /**
+     * Creates a monitor for the zones of this cluster's machines.
+     *
+     * @param leaseS seconds of a worker's lease
+     * @param reportS seconds between two reports of a worker
+     */
     public ZoneMonitor(Cluster cluster, ZoneSettings settings, double leaseS, double reportS) {
         this.cluster = cluster;
         this.settings = settings;
@@ -50,7 +56,7 @@
         return settings.enabled();
     }
 
-    /** Goes on where an earlier leader stopped. */
+    /** Restores the zone states that an earlier leader stored; does nothing if zones are not tracked. */
     public void restore(Collection<ZoneSnapshot> stored, double nowS) {
         if (!settings.enabled()) {
             return;
@@ -60,7 +66,7 @@
         }
     }
 
-    /** What a later leader needs to know; zones of which there is nothing to say are left out. */
+    /** Returns the zone states to store for a later leader; present zones without recent losses are left out. */
     public List<ZoneSnapshot> snapshots(double nowS) {
         List<ZoneSnapshot> snapshots = new ArrayList<>();
         for (ZoneTracker tracker : trackers.values()) {
@@ -72,56 +78,57 @@
     }
 
     /**
-     * Looks at all zones, once a round.
+     * Updates the states of all zones; called once a round.
      *
-     * @param peerReportCount workers' reports that have lately come to other controllers: those workers are not cut off
+     * @param peerReportCount recent reports of workers to other controllers, which show that these workers are not cut off
      */
     public void observe(int peerReportCount, double nowS) {
         if (!settings.enabled()) {
             return;
         }
-        counts = counter.count(nowS);
-        for (String zone : counts.keySet()) {
+        countsByZone = counter.count(nowS);
+        for (String zone : countsByZone.keySet()) {
             trackers.computeIfAbsent(zone, name -> new ZoneTracker(name, settings.thresholds(), settings.ramp(), nowS));
         }
-        underWay.clear();
-        boolean attributable = attributable(peerReportCount);
+        startsByZone.clear();
+        boolean silenceAttributable = isSilenceAttributable(peerReportCount);
         for (Map.Entry<String, ZoneTracker> entry : trackers.entrySet()) {
-            observe(entry.getKey(), entry.getValue(), attributable, nowS);
+            observe(entry.getKey(), entry.getValue(), silenceAttributable, nowS);
         }
         markMachines(nowS);
     }
 
     private void markMachines(double nowS) {
-        Set<String> held = startBudgets().keySet();
+        Set<String> limitedZones = startBudgets().keySet();
         for (Machine machine : cluster.machines.values()) {
             if (machine.zone == null) {
                 continue;
             }
-            machine.zoneRestricted = held.contains(machine.zone) || !acceptsWork(machine.zone);
-            boolean away = state(machine.zone) != ZoneState.PRESENT;
-            if (away && cluster.silentS(machine, nowS) > leaseS) {
+            machine.zoneRestricted = limitedZones.contains(machine.zone) || !acceptsWork(machine.zone);
+            boolean absent = state(machine.zone) != ZoneState.PRESENT;
+            if (absent && cluster.silentS(machine, nowS) > leaseS) {
                 machine.resetOutOfContact(nowS);
             }
         }
     }
 
-    private void observe(String zone, ZoneTracker tracker, boolean attributable, double nowS) {
-        ZoneCounts count = counts(zone);
+    private void observe(String zone, ZoneTracker tracker, boolean silenceAttributable, double nowS) {
+        ZoneCounts counts = countsOf(zone);
         boolean allMachinesKnown = cluster.listeningForS(nowS) > leaseS;
-        boolean unknown = !allMachinesKnown && count.machines() < tracker.minMachinesToJudge();
+        boolean tooEarly = !allMachinesKnown && counts.machines() < tracker.minMachinesToJudge();
         ZoneEvidence evidence =
-                unknown ? ZoneEvidence.UNDECIDED : ZoneEvidence.of(count, attributable, settings.thresholds());
+                tooEarly ? ZoneEvidence.UNDECIDED : ZoneEvidence.of(counts, silenceAttributable, settings.thresholds());
         ZoneStarts starts = new ZoneStarts(
                 cluster.startCounts().succeeded(zone),
                 cluster.startCounts().lost(zone),
-                tracker.ramp() == null ? 0 : underWay(zone).starts());
-        ZoneState before = tracker.state();
-        if (!tracker.observe(evidence, count, starts, allMachinesKnown, nowS)) {
+                tracker.ramp() == null ? 0 : startsInProgress(zone).starts());
+        ZoneState previous = tracker.state();
+        if (!tracker.observe(evidence, counts, starts, allMachinesKnown, nowS)) {
             return;
         }
-        transitions.add("zone " + zone + ": " + before + " -> " + tracker.state() + ", " + count.silent() + " of "
-                + count.machines() + " machines silent, " + count.reporting() + " heard, " + tracker.recentLosses()
+        transitions.add("zone " + zone + ": " + previous + " -> " + tracker.state() + ", " + counts.silent() + " of "
+                + counts.machines() + " machines silent, " + counts.reporting() + " reporting, "
+                + tracker.recentLosses()
                 + " recent losses");
         if (tracker.state() == ZoneState.LOST) {
             failback.cancel(zone);
@@ -129,77 +136,77 @@
     }
 
     /**
-     * Whether silence can be a zone's own. Where all zones are silent, or other controllers hear as many workers as are
-     * silent here, it is more likely this controller that does not hear.
+     * Whether silence can be a fault of the zones. If most machines of all zones are silent, or many workers report to other
+     * controllers compared with the number of silent machines, this controller is more likely cut off itself.
      */
-    private boolean attributable(int peerReportCount) {
-        int judged = 0;
-        int mostlySilent = 0;
+    private boolean isSilenceAttributable(int peerReportCount) {
+        int judgedZones = 0;
+        int mostlySilentZones = 0;
         int silentMachines = 0;
-        for (ZoneCounts count : counts.values()) {
-            judged += count.machines() >= settings.thresholds().minMachines() ? 1 : 0;
-            mostlySilent += count.isMostlySilent(settings.thresholds()) ? 1 : 0;
-            silentMachines += count.silent();
+        for (ZoneCounts counts : countsByZone.values()) {
+            judgedZones += counts.machines() >= settings.thresholds().minMachines() ? 1 : 0;
+            mostlySilentZones += counts.isMostlySilent(settings.thresholds()) ? 1 : 0;
+            silentMachines += counts.silent();
         }
-        boolean allSilent = judged > 1 && mostlySilent == judged;
-        boolean heardByPeers = peerReportCount > silentMachines * Constants.Zones.PEER_REPORT_SHARE;
-        return !allSilent && !heardByPeers;
+        boolean allZonesSilent = judgedZones > 1 && mostlySilentZones == judgedZones;
+        boolean reportingToPeers = peerReportCount > silentMachines * Constants.Zones.PEER_REPORT_SHARE;
+        return !allZonesSilent && !reportingToPeers;
     }
 
-    private ZoneCounts counts(String zone) {
-        return counts.getOrDefault(zone, ZoneCounts.NONE);
+    private ZoneCounts countsOf(String zone) {
+        return countsByZone.getOrDefault(zone, ZoneCounts.NONE);
     }
 
-    private UnderWay underWay(String zone) {
-        return underWay.computeIfAbsent(zone, this::countUnderWay);
+    private StartsInProgress startsInProgress(String zone) {
+        return startsByZone.computeIfAbsent(zone, this::countStartsInProgress);
     }
 
-    private UnderWay countUnderWay(String zone) {
+    private StartsInProgress countStartsInProgress(String zone) {
         int starts = 0;
         int downloads = 0;
         for (Machine machine : cluster.machines.values()) {
             if (!zone.equals(machine.zone)) {
                 continue;
             }
-            Set<String> fetching = new HashSet<>();
+            Set<String> imagesToFetch = new HashSet<>();
             for (Placement placement : machine.placements.values()) {
                 if (!Double.isNaN(placement.runningSinceS) || placement.standby || placement.stopping) {
                     continue;
                 }
                 starts++;
                 if (!machine.cachedImages.contains(placement.job.spec.image())) {
-                    fetching.add(placement.job.spec.image());
+                    imagesToFetch.add(placement.job.spec.image());
                 }
             }
-            downloads += fetching.size();
+            downloads += imagesToFetch.size();
         }
-        return new UnderWay(starts, downloads);
+        return new StartsInProgress(starts, downloads);
     }
 
-    /** Changes of state since the last call, a line each. */
+    /** Returns the state transitions since the last call, each described by a line, and clears them. */
     public List<String> takeTransitions() {
         List<String> taken = List.copyOf(transitions);
         transitions.clear();
         return taken;
     }
 
-    /** The state of a zone. */
+    /** Returns the state of a zone; {@code PRESENT} if the zone is not tracked. */
     public ZoneState state(String zone) {
         ZoneTracker tracker = trackers.get(zone);
         return tracker == null ? ZoneState.PRESENT : tracker.state();
     }
 
-    /** All zones that have had machines, for operators. */
+    /** Returns the status of all tracked zones, for operators. */
     public List<ZoneStatus> status() {
         List<ZoneStatus> status = new ArrayList<>();
         trackers.forEach((zone, tracker) -> {
             double window = tracker.ramp() == null ? 0 : tracker.ramp().window();
-            status.add(new ZoneStatus(zone, tracker.state(), counts(zone), tracker.recentLosses(), window));
+            status.add(new ZoneStatus(zone, tracker.state(), countsOf(zone), tracker.recentLosses(), window));
         });
         return status;
     }
 
-    /** Zones whose silent machines are worth waiting for. */
+    /** Returns the zones whose silent machines are kept for longer, because they probably report again. */
     public Set<String> disturbedZones(double nowS) {
         if (!settings.enabled()) {
             return counter.mostlySilentZones(settings.thresholds(), nowS);
@@ -213,41 +220,44 @@
         return disturbed;
     }
 
-    /** Zones in which nothing is rented: those that are not present, or where there is no other, mostly silent. */
+    /**
+     * Returns the zones in which no machines are rented: those that are not present, but zones without an alternative only
+     * while most of their machines are silent.
+     */
     public Set<String> closedZones(double nowS) {
-        Set<String> barred = disturbedZones(nowS);
+        Set<String> closed = disturbedZones(nowS);
         if (settings.enabled()) {
-            barred.removeIf(zone -> !hasAlternative(zone) && !counts(zone).isMostlySilent(settings.thresholds()));
+            closed.removeIf(zone -> !hasAlternative(zone) && !countsOf(zone).isMostlySilent(settings.thresholds()));
         }
-        return barred;
+        return closed;
     }
 
-    /** Zones in which more machines are quiet than fail by themselves. */
+    /** Returns the zones in which more machines are late than would be by independent failures. */
     public Set<String> lateZones(double nowS) {
         return counter.lateZones(nowS);
     }
 
-    /** The order of all waiting work while some zone is not present, else null: then teams' queues decide. */
-    public DisplacementOrder displacementOrder(ToDoubleFunction<Job> dueOrder) {
+    /** Returns the order of all waiting jobs while some zone is not present, else null; then the teams' queues decide. */
+    public DisplacementOrder displacementOrder(ToDoubleFunction<Job> orderKey) {
         for (ZoneTracker tracker : trackers.values()) {
             if (tracker.state() != ZoneState.PRESENT) {
-                return new DisplacementOrder(settings.displacementClasses(), dueOrder);
+                return new DisplacementOrder(settings.displacementClasses(), orderKey);
             }
         }
         return null;
     }
 
-    /** Whether machines are rented for a job at once, however long a lost zone may stay away. */
+    /** Whether a job is so urgent that machines are rented for it at once, without waiting for a lost zone to return. */
     public boolean isUrgent(Job job) {
         return DisplacementOrder.isUrgent(job, settings.displacementClasses());
     }
 
-    /** Whether new work may go to this zone; a lost one gets none as long as there is any other. */
+    /** Whether new work may be placed in this zone; a lost zone gets none while another zone is not lost. */
     public boolean acceptsWork(String zone) {
         return state(zone) != ZoneState.LOST || !hasAlternative(zone);
     }
 
-    /** How many starts this round may place in each zone that returns; zones without a limit are left out. */
+    /** Returns how many starts this round may place in each returning zone; zones without a limit are left out. */
     public Map<String, StartBudget> startBudgets() {
         Map<String, StartBudget> budgets = new HashMap<>();
         trackers.forEach((zone, tracker) -> {
@@ -255,15 +265,15 @@
             if (ramp == null || ramp.isFull() || !hasAlternative(zone)) {
                 return;
             }
-            UnderWay now = underWay(zone);
-            int starts = (int) ramp.window() - now.starts();
-            int downloads = ramp.maxDownloads() - now.downloads();
+            StartsInProgress inProgress = startsInProgress(zone);
+            int starts = (int) ramp.window() - inProgress.starts();
+            int downloads = ramp.maxDownloads() - inProgress.downloads();
             budgets.put(zone, new StartBudget(Math.min(starts, downloads)));
         });
         return budgets;
     }
 
-    /** Whether machines are to be had in another zone that is not lost. */
+    /** Whether a machine type is offered in another zone that is not lost. */
     private boolean hasAlternative(String zone) {
         for (MachineType type : cluster.types()) {
             for (String other : type.zones()) {
@@ -275,7 +285,7 @@
         return false;
     }
 
-    /** Whether a machine was rented in place of one in a zone that is still away or returning. */
+    /** Whether a machine was rented as a substitute for one in a zone that is still absent or returning. */
     public boolean isSubstitute(Machine machine) {
         for (Map.Entry<String, ZoneTracker> entry : trackers.entrySet()) {
             if (SubstituteMachines.isSubstitute(machine, entry.getKey(), entry.getValue())) {
@@ -285,24 +295,27 @@
         return false;
     }
 
-    /** How many machines may be rented now for work that is not urgent; without limit if no zone is newly away. */
+    /**
+     * Returns how many machines may be rented now for work that is not urgent; {@link Integer#MAX_VALUE} if no zone is
+     * suspect or lost, or if those zones have been absent for long.
+     */
     public int maxDeferrableRentals(double nowS) {
-        int most = Integer.MAX_VALUE;
+        int limit = Integer.MAX_VALUE;
         for (Map.Entry<String, ZoneTracker> entry : trackers.entrySet()) {
             ZoneState state = entry.getValue().state();
             if (state == ZoneState.SUSPECT || state == ZoneState.LOST) {
-                most = Math.min(most, substitutes.maxRentals(entry.getKey(), entry.getValue(), nowS));
+                limit = Math.min(limit, substitutes.maxRentals(entry.getKey(), entry.getValue(), nowS));
             }
         }
-        return most;
+        return limit;
     }
 
-    /** How many idle substitutes may be returned in this round. */
+    /** Returns how many idle substitutes may be returned in this round. */
     public int maxSubstituteReturns() {
         return SubstituteMachines.maxReturns(trackers.values());
     }
 
-    /** Chooses substitutes whose work moves back to zones that return. */
+    /** Starts to drain substitutes whose work moves back to returning zones. */
     public void planFailback(double nowS) {
         trackers.forEach((zone, tracker) -> {
             if (tracker.ramp() != null) {
--- a/src/main/java/org/mountlug/core/zone/ZoneSnapshot.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneSnapshot.java
@@ -1,15 +1,15 @@
 package org.mountlug.core.zone;
 
 /**
- * What the next leader needs to go on with a zone where this one stops. Times are ages in seconds, as steady clocks of two
- * machines have nothing in common.
+ * The stored state of a zone, from which the next leader continues. Times are ages in seconds, because the monotonic clocks of
+ * two hosts cannot be compared.
  *
- * @param recentLosses recent losses that have not been forgotten
- * @param stateAgeS since when it is in this state
- * @param absentAgeS since when it has not been present
- * @param lossAgeS since when it was last lost, or since when a loss was last forgotten
- * @param maxSilentMachines the most machines that were silent in this trouble
- * @param window starts that its ramp admits, 0 without a ramp
+ * @param recentLosses losses of the zone that have not expired
+ * @param stateAgeS seconds since the zone entered its state
+ * @param absentAgeS seconds since the zone ceased to be present, 0 while it is present
+ * @param lossAgeS seconds since the last loss, or since an earlier loss expired if that was later
+ * @param maxSilentMachines the highest number of silent machines since the zone ceased to be present
+ * @param window number of starts that the zone's ramp admits, 0 without a ramp
  */
 public record ZoneSnapshot(
         String zone,
--- a/src/main/java/org/mountlug/core/zone/ZoneStarts.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneStarts.java
@@ -1,10 +1,10 @@
 package org.mountlug.core.zone;
 
 /**
- * Starts in one zone.
+ * Numbers of task starts in one zone.
  *
- * @param succeeded those that have succeeded since the leader's term began
- * @param lost those that came to nothing since then
- * @param inProgress those that are under way now
+ * @param succeeded starts that succeeded since the leader's term began
+ * @param lost starts that did not lead to a running task since then
+ * @param inProgress starts that are in progress now
  */
 record ZoneStarts(long succeeded, long lost, int inProgress) {}
--- a/src/main/java/org/mountlug/core/zone/ZoneState.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneState.java
@@ -1,13 +1,13 @@
 package org.mountlug.core.zone;
 
-/** How the leader regards a zone. A state changes preferences only; it never proves that a task is gone. */
+/** The state of a zone in the leader's view. It only influences decisions; it never proves that a task has ended. */
 public enum ZoneState {
-    /** Its machines are heard, or it has too few of them to be judged. */
+    /** The zone's machines are reporting, or it has too few of them to be judged. */
     PRESENT,
-    /** Many of its machines are silent; nothing is rented there, and what is heard of it is still used. */
+    /** Many of its machines are silent; no machines are rented there, but its reporting machines are still used. */
     SUSPECT,
-    /** The zone as a whole is off the network; nothing is placed there while there is any other zone. */
+    /** The zone as a whole is off the network; no work is placed there while another zone is not lost. */
     LOST,
-    /** It is heard again, and gets work back at the pace of its {@link ReturnRamp}. */
+    /** Its machines report again, and it gets work as fast as its {@link ReturnRamp} allows. */
     RETURNING
 }
--- a/src/main/java/org/mountlug/core/zone/ZoneTracker.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneTracker.java
@@ -1,61 +1,66 @@
 package org.mountlug.core.zone;
 
 /**
- * The state of one zone over time. A transition is made once the evidence for it has lasted; after each loss a zone must be
- * heard for longer before it returns, up to a bound, and calm shortens that again (flap damping).
+ * Tracks the state of one zone. A transition is made once the evidence for it has lasted for some time. Each loss lengthens,
+ * up to a bound, the time for which the zone must be reporting before it returns; losses expire (flap damping).
  */
 final class ZoneTracker {
-    private static final int LOSSES_MOST = 10;
+    private static final int MAX_RECENT_LOSSES = 10;
 
     private final String zone;
     private final ZoneThresholds thresholds;
-    private final RampSettings limits;
+    private final RampSettings rampSettings;
     private ZoneState state = ZoneState.PRESENT;
     private double stateSinceS;
     private double absentSinceS;
     private int recentLosses;
-    private double lossS;
+    /** Monotonic time in seconds from which the expiry of the next recent loss counts. */
+    private double lossExpiryStartS;
+
     private int maxSilentMachines;
     private ReturnRamp ramp;
-    private ZoneState pending;
+    private ZoneState pendingState;
     private double pendingSinceS;
 
-    ZoneTracker(String zone, ZoneThresholds thresholds, RampSettings limits, double nowS) {
+    ZoneTracker(String zone, ZoneThresholds thresholds, RampSettings rampSettings, double nowS) {
         this.zone = zone;
         this.thresholds = thresholds;
-        this.limits = limits;
+        this.rampSettings = rampSettings;
         stateSinceS = nowS;
-        lossS = nowS;
+        lossExpiryStartS = nowS;
     }
 
-    /** Goes on where an earlier leader stopped. */
-    ZoneTracker(ZoneSnapshot stored, ZoneThresholds thresholds, RampSettings limits, double nowS) {
-        this(stored.zone(), thresholds, limits, nowS);
+    /** Restores the state that an earlier leader stored. */
+    ZoneTracker(ZoneSnapshot stored, ZoneThresholds thresholds, RampSettings rampSettings, double nowS) {
+        this(stored.zone(), thresholds, rampSettings, nowS);
         state = stored.state();
         stateSinceS = nowS - stored.stateAgeS();
         absentSinceS = nowS - stored.absentAgeS();
-        recentLosses = Math.min(LOSSES_MOST, Math.max(0, stored.recentLosses()));
-        lossS = nowS - stored.lossAgeS();
+        recentLosses = Math.min(MAX_RECENT_LOSSES, Math.max(0, stored.recentLosses()));
+        lossExpiryStartS = nowS - stored.lossAgeS();
         maxSilentMachines = stored.maxSilentMachines();
         if (state == ZoneState.RETURNING) {
-            ramp = new ReturnRamp(limits, Math.max(1, stored.window()), maxSilentMachines);
+            ramp = new ReturnRamp(rampSettings, Math.max(1, stored.window()), maxSilentMachines);
         }
     }
 
-    /** Machines without which a leader that has just begun cannot judge the zone, as it has yet to hear of the others. */
+    /**
+     * Returns the number of machines that a new leader must know of before it can judge the zone, as the zone's other machines
+     * may not have reported to it yet.
+     */
     int minMachinesToJudge() {
-        double known = state == ZoneState.PRESENT ? 0 : maxSilentMachines * thresholds.returnShare();
-        return Math.max(thresholds.minMachines(), (int) Math.ceil(known));
+        double minReporting = state == ZoneState.PRESENT ? 0 : maxSilentMachines * thresholds.returnShare();
+        return Math.max(thresholds.minMachines(), (int) Math.ceil(minReporting));
     }
 
     /**
-     * Takes in one look at the zone; returns whether its state has changed.
+     * Updates the state by the evidence of one moment; returns whether the state has changed.
      *
-     * @param allMachinesKnown whether this leader has heard for long enough to know of all machines
+     * @param allMachinesKnown whether this leader has received reports for long enough to know of all machines
      */
     boolean observe(
             ZoneEvidence evidence, ZoneCounts counts, ZoneStarts starts, boolean allMachinesKnown, double nowS) {
-        forgetLosses(nowS);
+        expireLosses(nowS);
         if (state != ZoneState.PRESENT) {
             maxSilentMachines = Math.max(maxSilentMachines, counts.silent());
         }
@@ -67,32 +72,35 @@
             next = ZoneState.RETURNING;
         }
         if (next == state) {
-            pending = null;
+            pendingState = null;
             return false;
         }
-        if (next != pending) {
-            pending = next;
+        if (next != pendingState) {
+            pendingState = next;
             pendingSinceS = nowS;
         }
-        if (nowS - pendingSinceS < dwellS(next)) {
+        if (nowS - pendingSinceS < requiredEvidenceS(next)) {
             return false;
         }
         enter(next, counts, starts, nowS);
         return true;
     }
 
-    /** Seconds for which the evidence for the next state must last. */
-    private double dwellS(ZoneState next) {
+    /** Returns the seconds for which the evidence for the next state must last. */
+    private double requiredEvidenceS(ZoneState next) {
         if (state == ZoneState.SUSPECT && next == ZoneState.LOST) {
             return thresholds.lostAfterS();
         }
         return state == ZoneState.LOST ? returnAfterS() : 0;
     }
 
-    /** Seconds for which the lost zone must be heard before it returns: doubled by each recent loss beyond the first. */
+    /**
+     * Returns the seconds for which the lost zone must be reporting before it returns: doubled by each recent loss beyond the
+     * first, up to a bound.
+     */
     double returnAfterS() {
-        double longer = thresholds.returnAfterS() * Math.pow(2, Math.max(0, recentLosses - 1));
-        return Math.min(thresholds.maxReturnAfterS(), longer);
+        double doubledS = thresholds.returnAfterS() * Math.pow(2, Math.max(0, recentLosses - 1));
+        return Math.min(thresholds.maxReturnAfterS(), doubledS);
     }
 
     private void enter(ZoneState next, ZoneCounts counts, ZoneStarts starts, double nowS) {
@@ -101,19 +109,19 @@
             maxSilentMachines = counts.silent();
         }
         if (next == ZoneState.LOST) {
-            recentLosses = Math.min(LOSSES_MOST, recentLosses + 1);
-            lossS = nowS;
+            recentLosses = Math.min(MAX_RECENT_LOSSES, recentLosses + 1);
+            lossExpiryStartS = nowS;
         }
-        ramp = next == ZoneState.RETURNING ? ReturnRamp.start(limits, counts.reporting(), starts) : null;
+        ramp = next == ZoneState.RETURNING ? ReturnRamp.start(rampSettings, counts.reporting(), starts) : null;
         state = next;
         stateSinceS = nowS;
-        pending = null;
+        pendingState = null;
     }
 
-    private void forgetLosses(double nowS) {
-        while (recentLosses > 0 && state != ZoneState.LOST && nowS - lossS >= thresholds.lossExpiryS()) {
+    private void expireLosses(double nowS) {
+        while (recentLosses > 0 && state != ZoneState.LOST && nowS - lossExpiryStartS >= thresholds.lossExpiryS()) {
             recentLosses--;
-            lossS += thresholds.lossExpiryS();
+            lossExpiryStartS += thresholds.lossExpiryS();
         }
     }
 
@@ -121,12 +129,12 @@
         return state;
     }
 
-    /** Steady seconds since when it is in its state. */
+    /** Returns the monotonic time in seconds at which the zone entered its state. */
     double stateSinceS() {
         return stateSinceS;
     }
 
-    /** Steady seconds since when it has not been present; meaningless while it is. */
+    /** Returns the monotonic time in seconds at which the zone ceased to be present; meaningless while it is present. */
     double absentSinceS() {
         return absentSinceS;
     }
@@ -135,17 +143,17 @@
         return recentLosses;
     }
 
-    /** The most machines that were silent in this trouble. */
+    /** Returns the highest number of silent machines since the zone ceased to be present. */
     int maxSilentMachines() {
         return maxSilentMachines;
     }
 
-    /** The ramp of a returning zone, else null. */
+    /** Returns the ramp of a returning zone, else null. */
     ReturnRamp ramp() {
         return ramp;
     }
 
-    /** Whether a later leader would act differently for knowing of this zone. */
+    /** Whether the state must be stored, because a later leader would act differently without it. */
     boolean needsSnapshot() {
         return state != ZoneState.PRESENT || recentLosses > 0;
     }
@@ -157,7 +165,7 @@
                 recentLosses,
                 nowS - stateSinceS,
                 state == ZoneState.PRESENT ? 0 : nowS - absentSinceS,
-                nowS - lossS,
+                nowS - lossExpiryStartS,
                 maxSilentMachines,
                 ramp == null ? 0 : ramp.window());
     }
--- a/src/main/java/org/mountlug/core/zone/ZoneTransitions.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneTransitions.java
@@ -10,22 +10,22 @@
 
 /**
  * The table of a zone's state transitions. {@link ZoneTracker} decides how long evidence must last before a transition is
- * made; the entry and exit shares behind the evidence differ, so that a zone does not oscillate at one threshold.
+ * made. The thresholds for entering and for leaving a state differ, so that a zone does not oscillate around one threshold.
  */
 final class ZoneTransitions {
     private static final Map<ZoneState, Map<ZoneEvidence, ZoneState>> TABLE = new EnumMap<>(ZoneState.class);
 
     static {
-        //              TOO_FEW  UNDECIDED  HEARD      MIXED      PARTLY_SILENT  SILENT
-        row(PRESENT, PRESENT, PRESENT, PRESENT, PRESENT, SUSPECT, SUSPECT);
-        row(SUSPECT, PRESENT, SUSPECT, PRESENT, SUSPECT, SUSPECT, LOST);
-        row(LOST, PRESENT, LOST, RETURNING, RETURNING, LOST, LOST);
-        row(RETURNING, PRESENT, RETURNING, PRESENT, RETURNING, RETURNING, LOST);
+        // Columns: TOO_FEW, UNDECIDED, REPORTING, PARTLY_SILENT, MOSTLY_SILENT, SILENT
+        addRow(PRESENT, PRESENT, PRESENT, PRESENT, PRESENT, SUSPECT, SUSPECT);
+        addRow(SUSPECT, PRESENT, SUSPECT, PRESENT, SUSPECT, SUSPECT, LOST);
+        addRow(LOST, PRESENT, LOST, RETURNING, RETURNING, LOST, LOST);
+        addRow(RETURNING, PRESENT, RETURNING, PRESENT, RETURNING, RETURNING, LOST);
     }
 
     private ZoneTransitions() {}
 
-    private static void row(ZoneState from, ZoneState... to) {
+    private static void addRow(ZoneState from, ZoneState... to) {
         Map<ZoneEvidence, ZoneState> row = new EnumMap<>(ZoneEvidence.class);
         for (ZoneEvidence evidence : ZoneEvidence.values()) {
             row.put(evidence, to[evidence.ordinal()]);
@@ -33,7 +33,7 @@
         TABLE.put(from, row);
     }
 
-    /** The state that evidence leads to, if it lasts. */
+    /** Returns the state that the evidence leads to if it lasts. */
     static ZoneState next(ZoneState state, ZoneEvidence evidence) {
         return TABLE.get(state).get(evidence);
     }
