--- a/src/test/java/org/mountlug/core/zone/DisplacementOrderTest.java
+++ b/src/test/java/org/mountlug/core/zone/DisplacementOrderTest.java
@@ -21,24 +21,24 @@
 import org.mountlug.core.model.Resources;
 import org.mountlug.core.model.Team;
 
-/** The order in which waiting work is placed while a zone is away. */
+/** Tests the order in which waiting jobs are placed while a zone is not present. */
 class DisplacementOrderTest {
-    private static final Resources NEED = new Resources(2, 0, 8);
+    private static final Resources REQUEST = new Resources(2, 0, 8);
 
-    private final Map<String, Double> due = new HashMap<>();
+    private final Map<String, Double> dueByJob = new HashMap<>();
 
-    private Job job(String id, String lane, String team, Priority urgency, double dueS, long submittedMs) {
-        JobSpec plain = Fixtures.spec(id, JobType.ARRAY, 4, NEED, urgency);
-        Job job = new Job(Fixtures.withClassAndTeam(plain, lane, team, submittedMs));
-        due.put(id, dueS);
+    private Job job(String id, String jobClass, String team, Priority priority, double dueS, long submittedMs) {
+        JobSpec spec = Fixtures.spec(id, JobType.ARRAY, 4, REQUEST, priority);
+        Job job = new Job(Fixtures.withClassAndTeam(spec, jobClass, team, submittedMs));
+        dueByJob.put(id, dueS);
         return job;
     }
 
-    private DisplacementOrder order(String... classes) {
-        return new DisplacementOrder(List.of(classes), job -> due.get(job.spec.id()));
+    private DisplacementOrder displacementOrder(String... classes) {
+        return new DisplacementOrder(List.of(classes), job -> dueByJob.get(job.spec.id()));
     }
 
-    private List<Job> four() {
+    private List<Job> fourJobs() {
         return List.of(
                 job("proof", "korrektur", "t", Priority.HIGH, 50, 4),
                 job("score", "partitur", "t", Priority.HIGH, 20, 3),
@@ -48,20 +48,20 @@
 
     @ParameterizedTest(name = "[{0}] -> {1}")
     @CsvSource({
-        "'', score proof parts more-parts", // priority, then what is due first, then the oldest
+        "'', score proof parts more-parts", // by priority, then by due time, then the oldest first
         "stamma, parts more-parts score proof",
         "korrektur stamma, proof parts more-parts score"
     })
-    void classesThenPriorityThenDueThenAge(String classes, String expected) {
-        List<Job> jobs = new ArrayList<>(four());
+    void ordersByClassPriorityDueTimeAndAge(String classes, String expected) {
+        List<Job> jobs = new ArrayList<>(fourJobs());
         Collections.shuffle(jobs, new Random(1));
-        jobs.sort(order(classes.isEmpty() ? new String[0] : classes.split(" ")));
+        jobs.sort(displacementOrder(classes.isEmpty() ? new String[0] : classes.split(" ")));
         assertEquals(
                 expected,
                 String.join(" ", jobs.stream().map(job -> job.spec.id()).toList()));
     }
 
-    private List<String> served(DisplacementOrder order, List<Job> jobs, Team... teams) {
+    private List<String> servedJobs(DisplacementOrder order, List<Job> jobs, Team... teams) {
         Map<String, Team> byName = new HashMap<>();
         for (Team team : teams) {
             byName.put(team.name(), team);
@@ -69,7 +69,7 @@
         Map<String, Resources> usage = new HashMap<>();
         usage.put("busy", new Resources(40, 0, 0));
         TeamQueues queues = new TeamQueues(
-                jobs, job -> due.get(job.spec.id()), order, byName::get, usage, new Resources(100, 0, 0), 10);
+                jobs, job -> dueByJob.get(job.spec.id()), order, byName::get, usage, new Resources(100, 0, 0), 10);
         List<String> served = new ArrayList<>();
         for (Job job = queues.next(); job != null; job = queues.next()) {
             served.add(job.spec.id());
@@ -77,43 +77,43 @@
         return served;
     }
 
-    /** Between teams without a guarantee the order decides while a zone is away, and their use on other days. */
+    /** Among teams without a guarantee, this order decides while a zone is not present, and otherwise the teams' usage. */
     @Test
-    void theOrderDecidesBetweenTeamsBeyondTheirGuarantees() {
+    void decidesBetweenTeamsWithoutGuarantees() {
         List<Job> jobs =
                 List.of(job("late", "l", "idle", Priority.HIGH, 90, 1), job("soon", "l", "busy", Priority.HIGH, 20, 2));
         Team idle = new Team("idle", 0, 0, 0, 0, 1);
         Team busy = new Team("busy", 0, 0, 0, 0, 1);
-        assertEquals(List.of("soon", "late"), served(order(), jobs, idle, busy));
-        assertEquals(List.of("late", "soon"), served(null, jobs, idle, busy));
+        assertEquals(List.of("soon", "late"), servedJobs(displacementOrder(), jobs, idle, busy));
+        assertEquals(List.of("late", "soon"), servedJobs(null, jobs, idle, busy));
     }
 
-    /** A team inside its guarantee goes first at its level, whatever is due sooner elsewhere. */
+    /** Within a level, a team that uses less than its guarantee precedes others even if their jobs are due sooner. */
     @Test
-    void guaranteesStand() {
+    void teamsWithinTheirGuaranteesGoFirst() {
         List<Job> jobs = List.of(
                 job("late", "l", "idle", Priority.HIGH, 90, 1),
                 job("soon", "l", "busy", Priority.HIGH, 20, 2),
                 job("urgent", "l", "busy", Priority.PROD, 99, 3));
         Team idle = new Team("idle", 10, 0, 0, 0, 1);
         Team busy = new Team("busy", 0, 0, 0, 0, 1);
-        assertEquals(List.of("urgent", "late", "soon"), served(order(), jobs, idle, busy));
+        assertEquals(List.of("urgent", "late", "soon"), servedJobs(displacementOrder(), jobs, idle, busy));
     }
 
-    /** What has waited for two minutes without beginning goes ahead of the order. */
+    /** A job that has waited for more than two minutes without a start precedes all others. */
     @Test
-    void whatHasNotBegunInTimeGoesFirst() {
-        Job old = job("old", "l", "busy", Priority.IDLE, 500, 1);
-        old.waitingSinceS = -200;
-        List<Job> jobs = List.of(job("soon", "l", "busy", Priority.PROD, 20, 2), old);
-        assertEquals(List.of("old", "soon"), served(order(), jobs, new Team("busy", 0, 0, 0, 0, 1)));
+    void starvingJobsGoFirst() {
+        Job starvingJob = job("old", "l", "busy", Priority.IDLE, 500, 1);
+        starvingJob.waitingSinceS = -200;
+        List<Job> jobs = List.of(job("soon", "l", "busy", Priority.PROD, 20, 2), starvingJob);
+        assertEquals(List.of("old", "soon"), servedJobs(displacementOrder(), jobs, new Team("busy", 0, 0, 0, 0, 1)));
     }
 
     @Test
-    void aNamedClassIsUrgentWhateverItsPriority() {
-        Job parts = four().get(2);
-        assertTrue(DisplacementOrder.isUrgent(parts, List.of("stamma")));
-        assertEquals(false, DisplacementOrder.isUrgent(parts, List.of()));
-        assertTrue(DisplacementOrder.isUrgent(four().get(0), List.of()));
+    void aNamedClassIsUrgentAtAnyPriority() {
+        Job standardJob = fourJobs().get(2);
+        assertTrue(DisplacementOrder.isUrgent(standardJob, List.of("stamma")));
+        assertEquals(false, DisplacementOrder.isUrgent(standardJob, List.of()));
+        assertTrue(DisplacementOrder.isUrgent(fourJobs().get(0), List.of()));
     }
 }
--- a/src/test/java/org/mountlug/core/zone/ZonePropertiesTest.java
+++ b/src/test/java/org/mountlug/core/zone/ZonePropertiesTest.java
@@ -27,111 +27,127 @@
 import org.mountlug.core.model.Team;
 
 /**
- * What holds of a zone's state, its ramp and the displacement order for any history. Seeds are fixed; a failure names its own,
- * which {@code @Property(seed = ...)} runs again.
+ * Tests invariants of a zone's state, its ramp and the displacement order over generated histories and jobs. Seeds are fixed;
+ * a failure prints its seed, with which {@code @Property(seed = ...)} repeats it.
  */
 class ZonePropertiesTest {
     private static final int MACHINES = 40;
     private static final ZoneThresholds THRESHOLDS = new ZoneThresholds(3, 0.5, 0.8, 0.25, 0.5, 3, 4, 60, 120);
-    private static final RampSettings LIMITS = new RampSettings(0.1, 0.1, 0.5);
+    private static final RampSettings RAMP_SETTINGS = new RampSettings(0.1, 0.1, 0.5);
 
-    /** Some seconds of the same: machines silent, starts under way, starts that succeed and that are lost each second. */
-    record Stretch(int seconds, int silent, int underWay, int succeed, int lose, boolean newLeader) {}
+    /**
+     * A part of a history with constant conditions.
+     *
+     * @param silent machines that are silent
+     * @param inProgress starts in progress
+     * @param newLeader whether a new leader takes over at the beginning
+     */
+    record Phase(
+            int seconds, int silent, int inProgress, int succeededPerSecond, int lostPerSecond, boolean newLeader) {}
 
     @Provide
-    Arbitrary<List<Stretch>> histories() {
+    Arbitrary<List<Phase>> histories() {
         Arbitrary<Integer> silent = Arbitraries.frequencyOf(
                 Tuple.of(2, Arbitraries.just(0)),
                 Tuple.of(2, Arbitraries.just(MACHINES)),
                 Tuple.of(1, Arbitraries.integers().between(0, MACHINES)));
-        Arbitrary<Integer> few = Arbitraries.integers().between(0, 3);
+        Arbitrary<Integer> successes = Arbitraries.integers().between(0, 3);
         return Combinators.combine(
                         Arbitraries.integers().between(1, 30),
                         silent,
                         Arbitraries.integers().between(0, MACHINES),
-                        few,
+                        successes,
                         Arbitraries.frequency(Tuple.of(4, 0), Tuple.of(1, 1)),
                         Arbitraries.frequency(Tuple.of(5, false), Tuple.of(1, true)))
-                .as(Stretch::new)
+                .as(Phase::new)
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(40);
     }
 
-    /** Plays a history; what must hold is looked at each second. */
-    private static final class Play {
-        private ZoneTracker tracker = new ZoneTracker("a", THRESHOLDS, LIMITS, 0);
+    /** Replays a history on a tracker and checks the invariants each second. */
+    private static final class HistoryReplay {
+        private ZoneTracker tracker = new ZoneTracker("a", THRESHOLDS, RAMP_SETTINGS, 0);
         private double nowS;
         private long succeeded;
         private long lost;
-        private int secondsHeard;
+        private int secondsReporting;
         private int secondsSilent;
 
-        void stretch(Stretch stretch) {
-            if (stretch.newLeader) {
+        void run(Phase phase) {
+            if (phase.newLeader) {
                 ZoneState state = tracker.state();
-                double hold = tracker.returnAfterS();
-                tracker = new ZoneTracker(tracker.snapshot(nowS), THRESHOLDS, LIMITS, nowS);
+                double returnAfterS = tracker.returnAfterS();
+                tracker = new ZoneTracker(tracker.snapshot(nowS), THRESHOLDS, RAMP_SETTINGS, nowS);
                 assertEquals(state, tracker.state());
-                assertEquals(hold, tracker.returnAfterS());
-                secondsHeard = 0;
+                assertEquals(returnAfterS, tracker.returnAfterS());
+                secondsReporting = 0;
             }
-            for (int i = 0; i < stretch.seconds; i++) {
-                second(stretch);
+            for (int i = 0; i < phase.seconds; i++) {
+                runSecond(phase);
             }
         }
 
-        private void second(Stretch stretch) {
+        private void runSecond(Phase phase) {
             nowS++;
-            succeeded += stretch.succeed;
-            lost += stretch.lose;
-            ZoneCounts counts =
-                    new ZoneCounts(MACHINES, MACHINES, MACHINES - stretch.silent, stretch.silent, stretch.silent);
+            succeeded += phase.succeededPerSecond;
+            lost += phase.lostPerSecond;
+            ZoneCounts counts = new ZoneCounts(MACHINES, MACHINES, MACHINES - phase.silent, phase.silent, phase.silent);
             ZoneEvidence evidence = ZoneEvidence.of(counts, true, THRESHOLDS);
             secondsSilent = evidence == ZoneEvidence.SILENT ? secondsSilent + 1 : 0;
-            boolean heard = evidence == ZoneEvidence.REPORTING || evidence == ZoneEvidence.PARTLY_SILENT;
-            secondsHeard = heard ? secondsHeard + 1 : 0;
-            ZoneState before = tracker.state();
-            double holdS = tracker.returnAfterS();
+            boolean reporting = evidence == ZoneEvidence.REPORTING || evidence == ZoneEvidence.PARTLY_SILENT;
+            secondsReporting = reporting ? secondsReporting + 1 : 0;
+            ZoneState previous = tracker.state();
+            double returnAfterS = tracker.returnAfterS();
             double window = tracker.ramp() == null ? Double.NaN : tracker.ramp().window();
-            tracker.observe(evidence, counts, new ZoneStarts(succeeded, lost, stretch.underWay), true, nowS);
-            check(before, holdS, window, counts, stretch);
+            tracker.observe(evidence, counts, new ZoneStarts(succeeded, lost, phase.inProgress), true, nowS);
+            check(previous, returnAfterS, window, counts, phase);
         }
 
-        private void check(ZoneState before, double holdS, double windowBefore, ZoneCounts counts, Stretch stretch) {
-            ZoneState now = tracker.state();
-            assertTrue(now != ZoneState.LOST || before != ZoneState.PRESENT, "never lost without being suspect first");
-            if (now == ZoneState.RETURNING && before == ZoneState.LOST) {
-                assertTrue(secondsHeard > holdS, "heard for " + secondsHeard + " s, must be " + holdS);
+        private void check(
+                ZoneState previous, double returnAfterS, double windowBefore, ZoneCounts counts, Phase phase) {
+            ZoneState current = tracker.state();
+            assertTrue(
+                    current != ZoneState.LOST || previous != ZoneState.PRESENT,
+                    "a present zone must become suspect before it is lost");
+            if (current == ZoneState.RETURNING && previous == ZoneState.LOST) {
+                assertTrue(
+                        secondsReporting > returnAfterS,
+                        "reporting for " + secondsReporting + " s, required are more than " + returnAfterS + " s");
             }
-            if (now == ZoneState.LOST && before == ZoneState.SUSPECT) {
+            if (current == ZoneState.LOST && previous == ZoneState.SUSPECT) {
                 assertTrue(secondsSilent > THRESHOLDS.lostAfterS());
             }
             assertTrue(tracker.returnAfterS() <= THRESHOLDS.maxReturnAfterS());
-            assertEquals(now == ZoneState.RETURNING, tracker.ramp() != null);
+            assertEquals(current == ZoneState.RETURNING, tracker.ramp() != null);
             if (tracker.ramp() == null) {
                 return;
             }
             double window = tracker.ramp().window();
             assertTrue(window >= 1 && window <= Math.max(1, counts.reporting()) + 1e-9, "window " + window);
             if (!Double.isNaN(windowBefore)) {
-                assertTrue(window <= windowBefore + Math.ceil(LIMITS.growShare() * MACHINES), "by addition");
-                assertTrue(stretch.lose == 0 || stretch.newLeader || window <= Math.max(1, windowBefore / 2) + 1e-9);
+                assertTrue(
+                        window <= windowBefore + Math.ceil(RAMP_SETTINGS.growShare() * MACHINES),
+                        "the window grows by at most one step");
+                assertTrue(
+                        phase.lostPerSecond == 0 || phase.newLeader || window <= Math.max(1, windowBefore / 2) + 1e-9);
             }
         }
     }
 
     @Property(tries = 500, seed = "20261202")
-    void anyHistoryKeepsToTheTableAndTheRamp(@ForAll("histories") List<Stretch> history) {
-        Play play = new Play();
-        history.forEach(play::stretch);
-        // Whatever came before, a zone that is heard and takes its starts is present again within a bound.
-        int calmS = (int) (THRESHOLDS.maxReturnAfterS() + 2 + MACHINES / Math.ceil(LIMITS.growShare() * MACHINES)) + 10;
-        play.stretch(new Stretch(calmS, 0, 0, 1, 0, false));
-        assertEquals(ZoneState.PRESENT, play.tracker.state());
-        play.stretch(new Stretch(20 * (int) THRESHOLDS.lossExpiryS(), 0, 0, 0, 0, false));
-        assertEquals(0, play.tracker.recentLosses());
-        assertEquals(false, play.tracker.needsSnapshot());
+    void anyHistoryObeysTheTransitionsAndTheRamp(@ForAll("histories") List<Phase> history) {
+        HistoryReplay replay = new HistoryReplay();
+        history.forEach(replay::run);
+        // After any history, a zone that reports and whose starts succeed is present again within a bounded time.
+        int recoveryS =
+                (int) (THRESHOLDS.maxReturnAfterS() + 2 + MACHINES / Math.ceil(RAMP_SETTINGS.growShare() * MACHINES))
+                        + 10;
+        replay.run(new Phase(recoveryS, 0, 0, 1, 0, false));
+        assertEquals(ZoneState.PRESENT, replay.tracker.state());
+        replay.run(new Phase(20 * (int) THRESHOLDS.lossExpiryS(), 0, 0, 0, 0, false));
+        assertEquals(0, replay.tracker.recentLosses());
+        assertEquals(false, replay.tracker.needsSnapshot());
     }
 
     @Provide
@@ -141,15 +157,15 @@
                         Arbitraries.of("proofs", "parts", "scores"),
                         Arbitraries.of(Priority.class),
                         Arbitraries.longs().between(0, 50))
-                .as((number, lane, urgency, submitted) -> new Job(Fixtures.withClassAndTeam(
-                        Fixtures.spec("wk-" + number, JobType.ARRAY, 1, new Resources(1, 0, 1), urgency),
-                        lane,
+                .as((number, jobClass, priority, submittedMs) -> new Job(Fixtures.withClassAndTeam(
+                        Fixtures.spec("wk-" + number, JobType.ARRAY, 1, new Resources(1, 0, 1), priority),
+                        jobClass,
                         "t",
-                        submitted)));
+                        submittedMs)));
         return job.list().ofMinSize(2).ofMaxSize(12);
     }
 
-    /** The order is total and does not depend on how the jobs came; no level goes ahead of an earlier one. */
+    /** The order is total and independent of the order of the input; no job precedes one of an earlier level. */
     @Property(tries = 300, seed = "20261202")
     void theDisplacementOrderIsTotal(@ForAll("jobs") List<Job> jobs, @ForAll("classes") List<String> classes) {
         DisplacementOrder order = new DisplacementOrder(classes, job -> job.spec.submittedMs() % 7);
@@ -170,57 +186,58 @@
         }
     }
 
-    /** A job of one-CPU tasks in one of three classes, bound to a zone or to none. */
-    record Waiting(int tasks, String lane, Priority urgency, String site) {}
+    /** A waiting job of one-CPU tasks, bound to a zone. */
+    record WaitingJob(int tasks, String jobClass, Priority priority, String zone) {}
 
     @Provide
-    Arbitrary<List<Waiting>> waiting() {
+    Arbitrary<List<WaitingJob>> waiting() {
         return Combinators.combine(
                         Arbitraries.integers().between(1, 30),
                         Arbitraries.of("proofs", "parts", "scores"),
                         Arbitraries.of(Priority.STANDARD, Priority.HIGH),
                         Arbitraries.frequencyOf(
                                 Tuple.of(3, Arbitraries.just("b")), Tuple.of(2, Arbitraries.of("a", "b"))))
-                .as(Waiting::new)
+                .as(WaitingJob::new)
                 .list()
                 .ofMinSize(2)
                 .ofMaxSize(10);
     }
 
-    /** Of jobs that fit the same room none gets any while one that goes before it in the order still waits for some. */
+    /** No job is placed while an earlier job in the order, bound to the same zone, still has pending tasks. */
     @Property(tries = 200, seed = "20261202")
     void noRoundInvertsTheOrder(
-            @ForAll("waiting") List<Waiting> waiting,
+            @ForAll("waiting") List<WaitingJob> waitingJobs,
             @ForAll("classes") List<String> classes,
             @ForAll @IntRange(min = 1, max = 8) int machinesLeft) {
         Cluster cluster = Fixtures.cluster(new Team("t", 0, 0, 0, 0, 1));
-        ZoneSettings settings = new ZoneSettings(true, classes, THRESHOLDS, LIMITS);
+        ZoneSettings settings = new ZoneSettings(true, classes, THRESHOLDS, RAMP_SETTINGS);
         ZoneMonitor zones = new ZoneMonitor(cluster, settings, 10, 2);
         for (int i = 0; i < MACHINES; i++) {
             String zone = i < machinesLeft ? "b" : "a";
             Fixtures.addMachine(cluster, "n-" + i, "small", zone);
         }
-        for (double now = 1; now < 20; now++) {
+        for (double nowS = 1; nowS < 20; nowS++) {
             for (int i = 0; i < machinesLeft; i++) {
-                cluster.machines.get("n-" + i).lastReportS = now;
+                cluster.machines.get("n-" + i).lastReportS = nowS;
             }
-            zones.observe(0, now);
+            zones.observe(0, nowS);
         }
         List<Job> jobs = new ArrayList<>();
-        for (Waiting each : waiting) {
-            JobSpec spec =
-                    Fixtures.spec("wk-" + jobs.size(), JobType.ARRAY, each.tasks, new Resources(1, 0, 1), each.urgency);
+        for (WaitingJob waitingJob : waitingJobs) {
+            JobSpec spec = Fixtures.spec(
+                    "wk-" + jobs.size(), JobType.ARRAY, waitingJob.tasks, new Resources(1, 0, 1), waitingJob.priority);
             jobs.add(Fixtures.addJob(
                     cluster,
-                    Fixtures.withZone(Fixtures.withClassAndTeam(spec, each.lane, "t", jobs.size()), each.site)));
+                    Fixtures.withZone(
+                            Fixtures.withClassAndTeam(spec, waitingJob.jobClass, "t", jobs.size()), waitingJob.zone)));
         }
-        ToDoubleFunction<Job> due = job -> job.spec.submittedMs() % 3;
-        new Allocator(cluster, zones, due, new ReplicaStartTimes(job -> 8, 20), 20).allocate();
-        DisplacementOrder order = zones.displacementOrder(due);
+        ToDoubleFunction<Job> orderKey = job -> job.spec.submittedMs() % 3;
+        new Allocator(cluster, zones, orderKey, new ReplicaStartTimes(job -> 8, 20), 20).allocate();
+        DisplacementOrder order = zones.displacementOrder(orderKey);
         for (Job first : jobs) {
             for (Job later : jobs) {
-                boolean sameRoom = first.spec.zone().equals(later.spec.zone());
-                if (sameRoom && order.compare(first, later) < 0 && first.pendingTaskCount() > 0) {
+                boolean sameZone = first.spec.zone().equals(later.spec.zone());
+                if (sameZone && order.compare(first, later) < 0 && first.pendingTaskCount() > 0) {
                     assertEquals(0, later.placements.size(), later.spec + " went ahead of " + first.spec);
                 }
             }
--- a/src/test/java/org/mountlug/core/zone/package-info.java
+++ b/src/test/java/org/mountlug/core/zone/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how lost zones are tracked and how work returns to them. */
+/** Tests of the tracking of lost zones and of the return of work to them. */
 package org.mountlug.core.zone;
