--- a/src/main/java/org/mountlug/node/Controller.java
+++ b/src/main/java/org/mountlug/node/Controller.java
@@ -27,9 +27,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller node without its sockets: leadership, the watches a follower keeps, and what users, workers and peers
- * are answered. Everything runs on one thread, which on a quarter of a core costs nothing and leaves no state to be
- * shared; {@link ControllerServer} puts the sockets and the clock round it.
+ * One controller without its sockets: its election, the watches that a follower keeps, and its responses to users,
+ * workers and peers. Everything runs on one thread, which suffices on a quarter of a core and avoids shared state.
+ * {@link ControllerServer} adds the sockets and the timer.
  */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
@@ -37,42 +37,47 @@
     private final Environment environment;
     private final Settings settings;
     private final Election election;
-    private final FinalStateCache finals = new FinalStateCache();
+    private final FinalStateCache finalStates = new FinalStateCache();
     private final Metrics metrics = new Metrics();
-    private final Objectives aims = new Objectives();
+    private final Objectives objectives = new Objectives();
     private final SplittableRandom random;
     private final StateClient state;
     private final HttpTransport cloud;
     private final DoubleSupplier clockS;
     private Leader leader;
-    private volatile Map<String, MachineType> types = Map.of();
-    private boolean fetchingTypes;
-    private double nextTypesS;
-    private long leaderWatchFrom = -1;
-    private boolean watchingLeader;
+    private volatile Map<String, MachineType> machineTypes = Map.of();
+    private boolean fetchingMachineTypes;
+    private double nextMachineTypesFetchS;
+    private long leaderWatchRevision = -1;
+    private boolean watchingLeaderKey;
     private final PeerView peerView;
-    private final long boot;
+    private final long incarnation;
     private final double startedS;
-    private final ReservationWatch reservations;
-    private final VersionAnnouncer versions;
-    private final ReportCounter reports;
+    private final ReservationWatch reservationWatch;
+    private final VersionAnnouncer versionAnnouncer;
+    private final ReportCounter reportCounter;
     private final StoredReportCounts storedCounts;
-    private final OverloadLog overload = new OverloadLog();
+    private final OverloadLog overloadLog = new OverloadLog();
     private final AdmissionControl admission;
-    /** The revision of the leader key that was last seen, and since when, in steady seconds. */
-    private long leaderStamp = -1;
-
-    private double leaderKnownS;
-    /** Steady seconds of the last turn, by which a standstill of the whole process shows. */
-    private double lastTurnS;
-    /** Steady seconds of the last waking from a standstill. */
-    private double wokeS = Double.NEGATIVE_INFINITY;
-    /** Seconds for which it had stood still then. */
-    private double stoodStillS;
-    /** Whether nothing since the last waking has shown that we still lead. */
-    private boolean doubtful;
-
-    /** A controller that has just started; {@code random} seeds its identity and its delays. */
+    /** The revision of the leader key as last seen. */
+    private long lastLeaderRevision = -1;
+
+    /** Monotonic seconds at which this controller first saw that revision. */
+    private double leaderSinceS;
+    /** Monotonic seconds of the last tick; a long gap after it is a pause of the whole process. */
+    private double lastTickS;
+    /** Monotonic seconds at which the end of the last process pause was detected. */
+    private double pauseEndedS = Double.NEGATIVE_INFINITY;
+    /** Seconds that the last process pause lasted. */
+    private double pauseDurationS;
+    /** Whether nothing since the last process pause has shown that this controller still leads. */
+    private boolean leadershipUnconfirmed;
+
+    /**
+     * Creates a controller that has just started.
+     *
+     * @param random the source of its incarnation number and of its random delays
+     */
     public Controller(Environment environment, SplittableRandom random) {
         this.environment = environment;
         this.settings = environment.settings();
@@ -80,239 +85,252 @@
         this.cloud = environment.cloud();
         this.clockS = environment.clockS();
         this.random = random;
-        this.boot = random.nextLong();
+        this.incarnation = random.nextLong();
         this.startedS = clockS.getAsDouble();
-        this.lastTurnS = startedS;
-        this.reservations = new ReservationWatch(state, metrics);
+        this.lastTickS = startedS;
+        this.reservationWatch = new ReservationWatch(state, metrics);
         this.admission = environment.operators().admission().enabled()
                 ? new FairShareAdmission(environment)
                 : new RateLimitAdmission(state);
-        this.versions = new VersionAnnouncer(state, settings.label());
+        this.versionAnnouncer = new VersionAnnouncer(state, settings.label());
         this.storedCounts = new StoredReportCounts(state, settings.label());
-        this.reports = new ReportCounter(Constants.REPORT_COUNT_WINDOW_INTERVALS * settings.reportIntervalS());
-        this.election = new Election(settings.label(), Long.toHexString(boot));
+        this.reportCounter = new ReportCounter(Constants.REPORT_COUNT_WINDOW_INTERVALS * settings.reportIntervalS());
+        this.election = new Election(settings.label(), Long.toHexString(incarnation));
         this.peerView = new PeerView(
                 settings.peers().stream().map(Settings.Peer::label).toList(), Constants.CANCELLATION_RETENTION_S);
-        for (Settings.Objective o : settings.objectives()) {
-            if (Double.isNaN(o.withinS())) {
+        for (Settings.Objective objective : settings.objectives()) {
+            if (Double.isNaN(objective.withinS())) {
                 continue;
             }
-            if (o.kind().equals("wait")) {
-                aims.addStartObjective(o.jobClass(), o.withinS());
-            } else if (o.kind().equals("finished")) {
-                aims.addCompletionObjective(o.jobClass(), o.withinS());
+            if (objective.kind().equals("wait")) {
+                objectives.addStartObjective(objective.jobClass(), objective.withinS());
+            } else if (objective.kind().equals("finished")) {
+                objectives.addCompletionObjective(objective.jobClass(), objective.withinS());
             }
         }
     }
 
-    private void after(Runnable r, int ms) {
-        environment.timer().accept(r, ms);
+    private void runAfter(Runnable action, int delayMs) {
+        environment.timer().accept(action, delayMs);
     }
 
-    /** Machines that are heard, as far as this controller leads. */
+    /** Returns the number of machines that have reported and are not known to be gone; 0 for a follower. */
     int upMachineCount() {
         return leader == null ? 0 : leader.upMachineCount();
     }
 
-    /** How the zones stand, as far as this controller leads. */
+    /** Returns the status of each zone; empty for a follower. */
     List<ZoneStatus> zoneStatuses() {
         return leader == null ? List.of() : leader.zoneStatuses();
     }
 
-    /** To be called about ten times a second. */
+    /** Does all periodic work of the controller; to be called about ten times a second. */
     public void tick() {
-        noticeStandstill();
-        lastTurnS = clockS.getAsDouble();
-        String l = election.leaderLabel();
-        if (l != null && !election.isLeading() && peerView.hasProcessEnded(l, clockS.getAsDouble())) {
-            LOG.info("{} has ended, by its refusals and the others' answers", l);
-            election.onLeaderProcessEnded(l);
+        detectProcessPause();
+        lastTickS = clockS.getAsDouble();
+        String leaderLabel = election.leaderLabel();
+        if (leaderLabel != null
+                && !election.isLeading()
+                && peerView.hasProcessEnded(leaderLabel, clockS.getAsDouble())) {
+            LOG.info("the process of leader {} has ended: it refuses connections, and most peers respond", leaderLabel);
+            election.onLeaderProcessEnded(leaderLabel);
         }
-        noteLeader(clockS.getAsDouble());
-        overload.observe(metrics.rateLimitedRequestCount(), clockS.getAsDouble());
+        recordLeaderChange(clockS.getAsDouble());
+        overloadLog.observe(metrics.rateLimitedRequestCount(), clockS.getAsDouble());
         shareReportCounts();
-        if (missed()) {
-            LOG.info("gives up leading: workers report to the other nodes and not to us");
+        if (isIsolated()) {
+            LOG.info("resigning as leader: workers report to the other controllers and not to this one");
             election.resign(clockS.getAsDouble());
         }
-        lead();
-        watchLeader();
-        versions.announce(clockS.getAsDouble());
+        advanceElection();
+        watchLeaderKey();
+        versionAnnouncer.announce(clockS.getAsDouble());
         admission.tick(clockS.getAsDouble());
         if (!election.isLeading() && election.leaderLabel() != null) {
-            reservations.watch(clockS.getAsDouble());
+            reservationWatch.watch(clockS.getAsDouble());
         }
-        types();
+        fetchMachineTypes();
         if (leader != null) {
             leader.tick();
         }
     }
 
     /**
-     * A process may stand still for seconds while its clocks run on. What it believed before may be over by then, and
-     * the silence was its own. A request that waited in a socket may be read before the first turn, so both look.
+     * Detects that the whole process was paused for seconds while its clocks ran on. Its lease may have ended meanwhile,
+     * and machines seem silent only because no report could be read. Called by the tick and before a request is handled,
+     * as a request that waited in a socket may be read before the first tick.
      */
-    private void noticeStandstill() {
-        double now = clockS.getAsDouble();
-        double gap = now - lastTurnS;
-        if (gap <= Constants.MIN_PROCESS_PAUSE_S) {
+    private void detectProcessPause() {
+        double nowS = clockS.getAsDouble();
+        double sinceLastTickS = nowS - lastTickS;
+        if (sinceLastTickS <= Constants.MIN_PROCESS_PAUSE_S) {
             return;
         }
         metrics.countProcessPause();
-        LOG.info("stood still for {} s", Math.round(gap * 10) / 10.0);
-        lastTurnS = now; // noticed once, by whichever looks first
-        wokeS = now;
-        stoodStillS = gap;
-        doubtful = true;
+        LOG.info("the process was paused for {} s", Math.round(sinceLastTickS * 10) / 10.0);
+        lastTickS = nowS; // a pause is detected only once
+        pauseEndedS = nowS;
+        pauseDurationS = sinceLastTickS;
+        leadershipUnconfirmed = true;
         if (leader != null) {
-            leader.cluster().restartListening(now);
+            leader.cluster().restartListening(nowS);
         }
     }
 
     /**
-     * Whether users' requests are refused for now: this process stood still for longer than any user waits, and what it
-     * reads just after waking is mostly from users that have long given up and asked elsewhere.
+     * Whether users' requests are refused for now: the process was paused for longer than any user waits, and the
+     * requests that it reads just after the pause are mostly from users that have given up and turned to another
+     * controller.
      */
     public boolean isSheddingRequests() {
-        noticeStandstill();
-        return stoodStillS > Constants.USER_REQUEST_TIMEOUT_S
-                && clockS.getAsDouble() - wokeS < Constants.SHED_AFTER_PAUSE_S;
+        detectProcessPause();
+        return pauseDurationS > Constants.USER_REQUEST_TIMEOUT_S
+                && clockS.getAsDouble() - pauseEndedS < Constants.SHED_AFTER_PAUSE_S;
     }
 
-    /** Whether we may answer workers: after waking only once a renewal, or every peer, shows that nobody else leads. */
-    private boolean trusted(double now) {
-        if (doubtful && (election.isLeaseHeld(now) || peerView.haveAllRespondedSince(wokeS))) {
-            doubtful = false;
+    /**
+     * Whether this controller may respond to workers as the leader. After a process pause it may only once a renewal of
+     * the leader lease, or a response of every peer, shows that no other controller leads.
+     */
+    private boolean isLeadershipConfirmed(double nowS) {
+        if (leadershipUnconfirmed && (election.isLeaseHeld(nowS) || peerView.haveAllRespondedSince(pauseEndedS))) {
+            leadershipUnconfirmed = false;
         }
-        return !doubtful;
+        return !leadershipUnconfirmed;
     }
 
     /**
-     * Whether the workers cannot reach us, though they reach the others, who send them to us. Our lease would go on and
-     * on, and with it all that runs would lose its lease: another one must lead.
+     * Whether this leader is isolated: workers cannot reach it, though they reach its peers, which redirect them to it.
+     * It would renew the leader lease forever while all running tasks lost their worker leases, so another controller
+     * must lead.
      */
-    private boolean missed() {
-        double now = clockS.getAsDouble();
-        if (!mayBeMissed(now)) {
+    private boolean isIsolated() {
+        double nowS = clockS.getAsDouble();
+        if (!canJudgeIsolation(nowS)) {
             return false;
         }
-        int elsewhere = Math.max(peerView.recentPeerReportCount(now), storedCounts.peerReportCount(now));
-        if (elsewhere < Constants.ISOLATION_MIN_REPORTS
-                || reports.recentCount(now) > elsewhere * Constants.ISOLATION_OWN_REPORT_SHARE) {
+        int peerReportCount = Math.max(peerView.recentPeerReportCount(nowS), storedCounts.peerReportCount(nowS));
+        if (peerReportCount < Constants.ISOLATION_MIN_REPORTS
+                || reportCounter.recentCount(nowS) > peerReportCount * Constants.ISOLATION_OWN_REPORT_SHARE) {
             return false;
         }
-        return elsewhere >= leader.upMachineCount() * Constants.ISOLATION_PEER_REPORT_SHARE;
+        return peerReportCount >= leader.upMachineCount() * Constants.ISOLATION_PEER_REPORT_SHARE;
     }
 
     /**
-     * Whether the leader says itself that hardly any worker reaches it, long after it began to lead, while workers come
-     * here: sent back, they would wait for an answer in vain until their lease has run out.
+     * Whether the leader itself responds that hardly any worker reaches it, long after it began to lead. Workers that
+     * report here are then not redirected to it, as they would wait for a response in vain until their lease runs out.
      */
-    private boolean missedByWorkers(String label) {
-        double now = clockS.getAsDouble();
+    private boolean isLeaderIsolated(String label) {
+        double nowS = clockS.getAsDouble();
         return label != null
-                && now - leaderKnownS >= Constants.ISOLATION_MIN_TERM_S
-                && peerView.haveReportsCeased(label, now);
+                && nowS - leaderSinceS >= Constants.ISOLATION_MIN_TERM_S
+                && peerView.haveReportsCeased(label, nowS);
     }
 
-    /** Notes when another leader began to lead, as far as this controller knows. */
-    private void noteLeader(double now) {
-        long stamp = election.leaderKeyRevision();
-        if (stamp != leaderStamp) {
-            leaderStamp = stamp;
-            leaderKnownS = now;
+    /** Records when this controller first saw the current revision of the leader key. */
+    private void recordLeaderChange(double nowS) {
+        long revision = election.leaderKeyRevision();
+        if (revision != lastLeaderRevision) {
+            lastLeaderRevision = revision;
+            leaderSinceS = nowS;
         }
     }
 
-    private boolean mayBeMissed(double now) {
+    /** Whether this controller has led for long enough, with a lease that is held, to tell whether it is isolated. */
+    private boolean canJudgeIsolation(double nowS) {
         return leader != null
                 && leader.isLoaded()
-                && election.isLeaseHeld(now)
+                && election.isLeaseHeld(nowS)
                 && leader.termDurationS() >= Constants.ISOLATION_MIN_TERM_S;
     }
 
     /**
-     * Where connections between controllers are refused or lost, what tells a leader that it is missed goes through the
-     * state service: from a follower that hears workers and not the leader, to a leader that hears hardly any worker.
+     * Passes numbers of reports through the state service where connections between controllers are refused or lost, so
+     * that an isolated leader detects its isolation: a follower that receives reports but no responses of the leader
+     * writes its number, and a leader that receives hardly any report reads the numbers.
      */
     private void shareReportCounts() {
-        double now = clockS.getAsDouble();
-        int heard = reports.recentCount(now);
-        String label = election.leaderLabel();
-        if (leader == null && label != null && !election.isLeading()) {
-            if (heard >= Constants.ISOLATION_MIN_REPORTS && !peerView.hasRespondedRecently(label, now)) {
-                storedCounts.write(heard, election.leaderKeyRevision(), now);
+        double nowS = clockS.getAsDouble();
+        int recentReports = reportCounter.recentCount(nowS);
+        String leaderLabel = election.leaderLabel();
+        if (leader == null && leaderLabel != null && !election.isLeading()) {
+            if (recentReports >= Constants.ISOLATION_MIN_REPORTS && !peerView.hasRespondedRecently(leaderLabel, nowS)) {
+                storedCounts.write(recentReports, election.leaderKeyRevision(), nowS);
             }
-        } else if (mayBeMissed(now)
-                && heard <= leader.upMachineCount() * Constants.ISOLATION_OWN_REPORT_SHARE
+        } else if (canJudgeIsolation(nowS)
+                && recentReports <= leader.upMachineCount() * Constants.ISOLATION_OWN_REPORT_SHARE
                 && leader.upMachineCount() >= Constants.ISOLATION_MIN_REPORTS
-                && !peerView.haveAllRespondedRecently(now)) {
-            storedCounts.read(election.token(), now);
+                && !peerView.haveAllRespondedRecently(nowS)) {
+            storedCounts.read(election.token(), nowS);
         }
     }
 
     // ---- leadership -------------------------------------------------------------------------------------------
 
-    /** When to campaign, as a part of the spread. */
-    private double turn() {
-        boolean fresh = clockS.getAsDouble() - startedS < Constants.EARLY_CAMPAIGN_UPTIME_S;
-        double r = random.nextDouble();
-        return fresh
-                ? r * Constants.EARLY_CAMPAIGN_SHARE
-                : Constants.EARLY_CAMPAIGN_SHARE + r * (1 - Constants.EARLY_CAMPAIGN_SHARE);
+    /** Returns a random delay of a campaign, as a share of the campaign jitter; recently started controllers go first. */
+    private double randomCampaignDelay() {
+        boolean recentlyStarted = clockS.getAsDouble() - startedS < Constants.EARLY_CAMPAIGN_UPTIME_S;
+        double part = random.nextDouble();
+        return recentlyStarted
+                ? part * Constants.EARLY_CAMPAIGN_SHARE
+                : Constants.EARLY_CAMPAIGN_SHARE + part * (1 - Constants.EARLY_CAMPAIGN_SHARE);
     }
 
-    private void lead() {
-        double now = clockS.getAsDouble();
-        switch (election.nextStep(now)) {
+    /** Takes the next step of the election, and begins or ends this controller's term by its outcome. */
+    private void advanceElection() {
+        double nowS = clockS.getAsDouble();
+        switch (election.nextStep(nowS)) {
             case READ_LEADER_KEY ->
-                state.get(StateKeys.LEADER, Constants.STATE_TIMEOUT_MS, a -> {
-                    if (a.status() == 200) {
-                        Map<String, Object> v = Fields.asMap(a.body().get("v"));
-                        long stamp = Fields.getLong(a.body(), "stamp", 0);
+                state.get(StateKeys.LEADER, Constants.STATE_TIMEOUT_MS, response -> {
+                    if (response.status() == 200) {
+                        Map<String, Object> record =
+                                Fields.asMap(response.body().get("v"));
+                        long revision = Fields.getLong(response.body(), "stamp", 0);
                         election.onLeaderKeyRead(
                                 clockS.getAsDouble(),
-                                Fields.getString(v, "node"),
-                                Fields.getString(v, "nonce"),
-                                Fields.getLong(v, "hold", 0),
-                                stamp,
-                                turn());
-                        if (leaderWatchFrom < stamp) {
-                            leaderWatchFrom = stamp;
+                                Fields.getString(record, "node"),
+                                Fields.getString(record, "nonce"),
+                                Fields.getLong(record, "hold", 0),
+                                revision,
+                                randomCampaignDelay());
+                        if (leaderWatchRevision < revision) {
+                            leaderWatchRevision = revision;
                         }
-                    } else if (a.status() == 404) {
-                        leaderWatchFrom = Math.max(leaderWatchFrom, Fields.getLong(a.body(), "epoch", 0));
-                        election.onLeaderKeyRead(clockS.getAsDouble(), null, null, 0, 0, turn());
+                    } else if (response.status() == 404) {
+                        leaderWatchRevision =
+                                Math.max(leaderWatchRevision, Fields.getLong(response.body(), "epoch", 0));
+                        election.onLeaderKeyRead(clockS.getAsDouble(), null, null, 0, 0, randomCampaignDelay());
                     } else {
                         election.onStepFailed(clockS.getAsDouble());
                     }
                 });
             case REVOKE_OLD_LEASE ->
-                state.revokeLease(election.oldLeaseId(), a -> election.onOldLeaseRevoked(clockS.getAsDouble()));
+                state.revokeLease(election.oldLeaseId(), response -> election.onOldLeaseRevoked(clockS.getAsDouble()));
             case CREATE_LEASE ->
-                state.openLease(Constants.LEADER_LEASE_MS, a -> {
-                    if (a.status() == 200) {
-                        election.onLeaseCreated(now, Fields.getLong(a.body(), "hold", 0));
-                        lead();
+                state.openLease(Constants.LEADER_LEASE_MS, response -> {
+                    if (response.status() == 200) {
+                        election.onLeaseCreated(nowS, Fields.getLong(response.body(), "hold", 0));
+                        advanceElection();
                     } else {
                         election.onStepFailed(clockS.getAsDouble());
                     }
                 });
             case CAMPAIGN -> {
-                Map<String, Object> v = new LinkedHashMap<>();
-                v.put("node", settings.label());
-                v.put("nonce", election.nonce());
-                v.put("hold", election.leaseId());
+                Map<String, Object> record = new LinkedHashMap<>();
+                record.put("node", settings.label());
+                record.put("nonce", election.nonce());
+                record.put("hold", election.leaseId());
                 state.commit(
                         new Transaction()
                                 .requireRevision(StateKeys.LEADER, 0)
-                                .put(StateKeys.LEADER, v, election.leaseId()),
-                        a -> {
-                            if (a.status() == 200) {
+                                .put(StateKeys.LEADER, record, election.leaseId()),
+                        response -> {
+                            if (response.status() == 200) {
                                 election.onCampaignResponse(
-                                        clockS.getAsDouble(), true, Fields.getLong(a.body(), "epoch", 0));
-                                lead();
-                            } else if (a.status() == 409) {
+                                        clockS.getAsDouble(), true, Fields.getLong(response.body(), "epoch", 0));
+                                advanceElection();
+                            } else if (response.status() == 409) {
                                 election.onCampaignResponse(clockS.getAsDouble(), false, 0);
                             } else {
                                 election.onStepFailed(clockS.getAsDouble());
@@ -320,12 +338,12 @@
                         });
             }
             case RENEW_LEASE ->
-                state.renewLease(election.leaseId(), a -> {
-                    if (a.status() == 200) {
-                        election.onRenewalResponse(now, true);
-                    } else if (a.status() == 404) {
+                state.renewLease(election.leaseId(), response -> {
+                    if (response.status() == 200) {
+                        election.onRenewalResponse(nowS, true);
+                    } else if (response.status() == 404) {
                         LOG.info("deposed: the lease ended");
-                        election.onRenewalResponse(now, false);
+                        election.onRenewalResponse(nowS, false);
                     } else {
                         election.onStepFailed(clockS.getAsDouble());
                     }
@@ -343,9 +361,9 @@
             leader = new Leader(
                     environment,
                     election,
-                    aims,
-                    types.values(),
-                    finals,
+                    objectives,
+                    machineTypes.values(),
+                    finalStates,
                     metrics,
                     () -> peerView.recentPeerReportCount(clockS.getAsDouble()),
                     admission);
@@ -353,76 +371,85 @@
         }
     }
 
-    /** Followers learn of a vacancy from a watch, at once and for one request in ten seconds. */
-    private void watchLeader() {
-        if (watchingLeader || election.isLeading() || leaderWatchFrom < 0) {
+    /** Watches the leader key as a follower, which detects a vacancy at once and takes one request in ten seconds. */
+    private void watchLeaderKey() {
+        if (watchingLeaderKey || election.isLeading() || leaderWatchRevision < 0) {
             return;
         }
-        watchingLeader = true;
-        state.watch(StateKeys.LEADER, leaderWatchFrom, Constants.WATCH_BLOCK_MS, a -> {
-            after(() -> watchingLeader = false, a.status() == 200 ? 50 : 500);
-            if (a.status() == 410) {
-                leaderWatchFrom = -1;
+        watchingLeaderKey = true;
+        state.watch(StateKeys.LEADER, leaderWatchRevision, Constants.WATCH_BLOCK_MS, response -> {
+            runAfter(() -> watchingLeaderKey = false, response.status() == 200 ? 50 : 500);
+            if (response.status() == 410) {
+                leaderWatchRevision = -1;
             }
-            if (a.status() != 200) {
+            if (response.status() != 200) {
                 return;
             }
-            leaderWatchFrom = Math.max(leaderWatchFrom, Fields.getLong(a.body(), "epoch", 0));
-            List<Object> news = Fields.getList(a.body(), "news");
-            if (!news.isEmpty() && Fields.getString(Fields.asMap(news.get(news.size() - 1)), "delete") != null) {
-                election.onLeaderKeyDeleted(clockS.getAsDouble(), turn());
+            leaderWatchRevision = Math.max(leaderWatchRevision, Fields.getLong(response.body(), "epoch", 0));
+            List<Object> changes = Fields.getList(response.body(), "news");
+            if (!changes.isEmpty()
+                    && Fields.getString(Fields.asMap(changes.get(changes.size() - 1)), "delete") != null) {
+                election.onLeaderKeyDeleted(clockS.getAsDouble(), randomCampaignDelay());
             }
         });
     }
 
     // ---- peers ------------------------------------------------------------------------------------------------
 
-    /** What this controller tells another one that asks. */
+    /** Returns the response to a peer's status request. */
     public PeerCodec.StatusResponse answerPeerRequest(long serial) {
-        double now = clockS.getAsDouble();
+        double nowS = clockS.getAsDouble();
         return new PeerCodec.StatusResponse(
                 serial,
-                boot,
+                incarnation,
                 state.isServed(),
                 knownToken(),
-                reports.recentCount(now),
+                reportCounter.recentCount(nowS),
                 false,
-                peerView.recentCancellations(now),
+                peerView.recentCancellations(nowS),
                 admission.demand());
     }
 
+    /** Returns the own token while leading, else the revision of the leader key, which is the leader's token. */
     private long knownToken() {
         return election.isLeading() ? election.token() : election.leaderKeyRevision();
     }
 
-    /** Takes in what another controller has answered. */
-    public void handlePeerResponse(String label, PeerConnections.TimedResponse h) {
-        double now = clockS.getAsDouble();
-        peerView.recordResponse(label, h.requestedS(), now, h.response());
+    /** Applies the response of a peer to a status request. */
+    public void handlePeerResponse(String label, PeerConnections.TimedResponse timedResponse) {
+        double nowS = clockS.getAsDouble();
+        peerView.recordResponse(label, timedResponse.requestedS(), nowS, timedResponse.response());
         if (leader == null) {
             return;
         }
-        if (h.response().token() > election.token()) {
-            LOG.info("deposed: {} knows token {}", label, h.response().token());
+        if (timedResponse.response().token() > election.token()) {
+            LOG.info(
+                    "deposed: controller {} knows the higher token {}",
+                    label,
+                    timedResponse.response().token());
             election.depose();
             return;
         }
-        leader.recordDemand(label, h.response().incarnation(), h.response().demand());
+        leader.recordDemand(
+                label,
+                timedResponse.response().incarnation(),
+                timedResponse.response().demand());
         JobRecordWatch records = leader.records();
-        for (String id : h.response().cancellations()) {
+        for (String id : timedResponse.response().cancellations()) {
             records.recordCancellation(id);
         }
-        records.confirmCancellationsUntil(peerView.cancellationsKnownUntilS(records.cancellationsKnownUntilS(), now));
+        records.confirmCancellationsUntil(peerView.cancellationsKnownUntilS(records.cancellationsKnownUntilS(), nowS));
     }
 
-    /** A peer's address refused a connection. */
+    /** Records that a peer's address refused a connection. */
     public void recordPeerRefusal(String label) {
         peerView.recordRefusedConnection(label, clockS.getAsDouble());
     }
 
     /**
-     * This node is about to tell a user that the job is cancelled, while its tasks may still run; to be called before each
-     * such answer, as a leader that is not served hears of cancellations in no other way.
+     * Records that this controller is about to acknowledge a cancellation to a user, while tasks of the job may still
+     * run. To be called before each such response: a leader to which the state service is unavailable learns of
+     * cancellations in no other way.
      */
     public void recordCancellation(String id) {
         peerView.recordCancellation(id, clockS.getAsDouble());
@@ -431,132 +458,141 @@
         }
     }
 
-    // ---- catalogue --------------------------------------------------------------------------------------------
+    // ---- machine types ----------------------------------------------------------------------------------------
 
-    /** Without the machine types no submission can be judged; the state service keeps them for when the cloud fails. */
-    private void types() {
-        double now = clockS.getAsDouble();
-        if (!types.isEmpty() || fetchingTypes || now < nextTypesS) {
+    /**
+     * Fetches the machine types, without which no submission can be validated: from the state service, which keeps them
+     * for when the cloud fails, or else from the cloud.
+     */
+    private void fetchMachineTypes() {
+        double nowS = clockS.getAsDouble();
+        if (!machineTypes.isEmpty() || fetchingMachineTypes || nowS < nextMachineTypesFetchS) {
             return;
         }
-        fetchingTypes = true;
-        state.get(StateKeys.CATALOGUE, Constants.STATE_TIMEOUT_MS, a -> {
-            if (a.status() == 200) {
-                learnTypes(CloudCodec.readMachineTypes(Fields.asMap(a.body().get("v"))));
+        fetchingMachineTypes = true;
+        state.get(StateKeys.CATALOGUE, Constants.STATE_TIMEOUT_MS, response -> {
+            if (response.status() == 200) {
+                applyMachineTypes(
+                        CloudCodec.readMachineTypes(Fields.asMap(response.body().get("v"))));
                 return;
             }
-            cloud.call(Methods.GET, "/flavors", null, Constants.CLOUD_TIMEOUT_MS, b -> {
-                if (b.status() == 200) {
-                    learnTypes(CloudCodec.readMachineTypes(b.body()));
+            cloud.call(Methods.GET, "/flavors", null, Constants.CLOUD_TIMEOUT_MS, cloudResponse -> {
+                if (cloudResponse.status() == 200) {
+                    applyMachineTypes(CloudCodec.readMachineTypes(cloudResponse.body()));
                 } else {
-                    fetchingTypes = false;
-                    nextTypesS = clockS.getAsDouble() + 1 + random.nextDouble();
+                    fetchingMachineTypes = false;
+                    nextMachineTypesFetchS = clockS.getAsDouble() + 1 + random.nextDouble();
                 }
             });
         });
     }
 
-    private void learnTypes(List<MachineType> l) {
-        fetchingTypes = false;
-        Map<String, MachineType> m = new LinkedHashMap<>();
-        for (MachineType t : l) {
-            m.put(t.name(), t);
+    private void applyMachineTypes(List<MachineType> types) {
+        fetchingMachineTypes = false;
+        Map<String, MachineType> byName = new LinkedHashMap<>();
+        for (MachineType type : types) {
+            byName.put(type.name(), type);
         }
-        types = m;
+        machineTypes = byName;
         if (leader != null && leader.cluster().types().isEmpty()) {
-            leader.cluster().setMachineTypes(l);
+            leader.cluster().setMachineTypes(types);
         }
     }
 
-    // ---- for the interface ------------------------------------------------------------------------------------
+    // ---- users and workers ------------------------------------------------------------------------------------
 
-    /** The machine types by name; empty until they have been read. */
+    /** Returns the machine types by name; empty until they have been read. */
     public Map<String, MachineType> machineTypes() {
-        return types;
+        return machineTypes;
     }
 
-    /** How submissions are admitted here. */
+    /** Returns the admission control of this controller. */
     public AdmissionControl admission() {
         return admission;
     }
 
-    /** The meters of this controller. */
+    /** Returns the metrics of this controller. */
     public Metrics metrics() {
         return metrics;
     }
 
-    /** The final state of a job as a cache knows it: true for done, false for cancelled, null if not known. */
+    /** Returns the cached final state of a job: true for done, false for cancelled, null if it is not cached. */
     public Boolean cachedFinalState(String id) {
-        FinalStateCache.FinalState s = finals.get(id);
-        return s == null ? null : (Boolean) s.done();
+        FinalStateCache.FinalState finalState = finalStates.get(id);
+        return finalState == null ? null : (Boolean) finalState.done();
     }
 
-    /** How many tasks a job had whose final state is cached, else 0. */
+    /** Returns the number of tasks of a job whose final state is cached, else 0. */
     public int cachedTaskCount(String id) {
-        FinalStateCache.FinalState s = finals.get(id);
-        return s == null ? 0 : s.tasks();
+        FinalStateCache.FinalState finalState = finalStates.get(id);
+        return finalState == null ? 0 : finalState.tasks();
     }
 
     /** Caches the final state of a job. */
     public void cacheFinalState(String id, boolean done, int tasks) {
-        finals.put(id, done, tasks);
+        finalStates.put(id, done, tasks);
     }
 
-    /** Whether this node leads. */
+    /** Whether this controller leads. */
     public boolean isLeading() {
         return leader != null && election.isLeading();
     }
 
-    /** The token under which this node leads or last led. */
+    /** Returns the fencing token of this controller's current or last term. */
     public long token() {
         return election.token();
     }
 
-    /** Who leads as far as this node knows, or null. */
+    /** Returns the label of the leader as far as this controller knows it, or null. */
     public String leaderLabel() {
         return election.leaderLabel();
     }
 
-    /** What to answer a worker. */
+    /** The response to a worker's report. */
     public sealed interface ReportResponse {
-        /** Orders under our token. */
+        /** The leader's response: commands under its fencing token. */
         record Commands(long token, List<Command> commands) implements ReportResponse {}
 
-        /** Somebody else leads, perhaps unknown who. */
+        /** Another controller leads; {@code leader} is null if it is not known which, or if workers cannot reach it. */
         record NotLeader(String leader) implements ReportResponse {}
 
-        /** We lead but may not renew. */
+        /** This controller leads but may not renew the worker's lease, so it sends no response. */
         record Withheld() implements ReportResponse {}
     }
 
-    /** Takes in a worker's report and decides the answer. */
-    public ReportResponse handleReport(Report r) {
+    /** Applies a worker's report and returns the response. */
+    public ReportResponse handleReport(Report report) {
         metrics.countReport();
-        reports.recordReport(clockS.getAsDouble());
+        reportCounter.recordReport(clockS.getAsDouble());
         if (leader == null || !election.isLeading()) {
-            String l = election.leaderLabel();
-            return new ReportResponse.NotLeader(settings.label().equals(l) || missedByWorkers(l) ? null : l);
+            String leaderLabel = election.leaderLabel();
+            return new ReportResponse.NotLeader(
+                    settings.label().equals(leaderLabel) || isLeaderIsolated(leaderLabel) ? null : leaderLabel);
         }
-        noticeStandstill();
-        double now = clockS.getAsDouble();
-        if (!trusted(now) || !leader.mayRenewWorkerLeases(now) || leader.mustWithholdResponse(r.machine())) {
+        detectProcessPause();
+        double nowS = clockS.getAsDouble();
+        if (!isLeadershipConfirmed(nowS)
+                || !leader.mayRenewWorkerLeases(nowS)
+                || leader.mustWithholdResponse(report.machine())) {
             metrics.countUnansweredReport();
             return new ReportResponse.Withheld();
         }
-        List<Command> orders = leader.handleReport(r);
-        if (orders == null) {
-            LOG.info("deposed: {} knows token {}", r.machine(), r.token());
+        List<Command> commands = leader.handleReport(report);
+        if (commands == null) {
+            LOG.info("deposed: machine {} knows the higher token {}", report.machine(), report.token());
             election.depose();
             return new ReportResponse.NotLeader(null);
         }
-        return new ReportResponse.Commands(leader.cluster().token(), orders);
+        return new ReportResponse.Commands(leader.cluster().token(), commands);
     }
 
-    /** Whether this node can take requests. */
+    /** Whether the load balancer should send users to this controller. */
     public boolean isHealthy() {
-        // A node that alone is refused sends its users elsewhere; in an outage for all there is no elsewhere.
-        double now = clockS.getAsDouble();
-        boolean refused = !state.isServed() && now - state.lastServedS() > Constants.UNHEALTHY_AFTER_MS / 1000.0;
-        return !(refused && peerView.isStateAvailableToAnyPeer(now));
+        // If the state service is unavailable to this controller alone, users are better served by a peer; in an outage
+        // for all controllers they are not.
+        double nowS = clockS.getAsDouble();
+        boolean stateUnavailable =
+                !state.isServed() && nowS - state.lastServedS() > Constants.UNHEALTHY_AFTER_MS / 1000.0;
+        return !(stateUnavailable && peerView.isStateAvailableToAnyPeer(nowS));
     }
 }
--- a/src/main/java/org/mountlug/node/ControllerServer.java
+++ b/src/main/java/org/mountlug/node/ControllerServer.java
@@ -27,33 +27,34 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** A controller as a process: the server, the clients and the timers round a {@link Controller}, on one I/O thread. */
+/** Runs a {@link Controller} as a process, with its server, its clients and its timers on one I/O thread. */
 public final class ControllerServer {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
     private final Settings settings;
     private final OperatorSettings operators;
     private XnioWorker worker;
-    private XnioIoThread io;
+    private XnioIoThread ioThread;
     private Undertow server;
-    private Controller node;
+    private Controller controller;
     private PeerConnections peers;
-    private double nextPeerS;
+    private double nextPeerPollS;
     private boolean stopped;
-    private final List<String> sizes;
+    private final List<String> sizingNotes;
 
-    /** @param sizes what there is to say of the sizes, see {@link org.mountlug.settings.ControllerSizing} */
-    public ControllerServer(Settings settings, OperatorSettings operators, List<String> sizes) {
-        this.sizes = sizes;
+    /** @param sizingNotes notes on the size of the machine for the log, see {@link org.mountlug.settings.ControllerSizing} */
+    public ControllerServer(Settings settings, OperatorSettings operators, List<String> sizingNotes) {
+        this.sizingNotes = sizingNotes;
         this.settings = settings;
         this.operators = operators;
     }
 
+    /** Returns the monotonic time in seconds. */
     private static double clockS() {
         return System.nanoTime() / 1e9;
     }
 
-    /** Opens the sockets and starts the clock. */
+    /** Opens the sockets and starts the ticks of the controller. */
     public void start() throws IOException {
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -63,11 +64,11 @@
                         .set(Options.STACK_SIZE, 1024 * 1024L)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        io = worker.getIoThread();
+        ioThread = worker.getIoThread();
         ByteBufferPool pool = new DefaultByteBufferPool(true, Constants.IO_BUFFER_BYTES, 64, 4);
         StateClient state = new StateClient(
-                new PooledHttpClient(io, pool, settings.stateAddress(), Constants.STATE_CONNECTIONS),
-                new PooledHttpClient(io, pool, settings.stateAddress(), Constants.WATCH_CONNECTIONS),
+                new PooledHttpClient(ioThread, pool, settings.stateAddress(), Constants.STATE_CONNECTIONS),
+                new PooledHttpClient(ioThread, pool, settings.stateAddress(), Constants.WATCH_CONNECTIONS),
                 ControllerServer::clockS,
                 settings.stateRps(),
                 settings.peers().size() + 1);
@@ -75,12 +76,12 @@
                 settings,
                 operators,
                 state,
-                new PooledHttpClient(io, pool, settings.cloudAddress(), Constants.CLOUD_CONNECTIONS),
-                address -> new PooledHttpClient(io, pool, address, 1, false),
+                new PooledHttpClient(ioThread, pool, settings.cloudAddress(), Constants.CLOUD_CONNECTIONS),
+                address -> new PooledHttpClient(ioThread, pool, address, 1, false),
                 ControllerServer::clockS,
                 System::currentTimeMillis,
-                this::after);
-        node = new Controller(environment, new SplittableRandom());
+                this::runAfter);
+        controller = new Controller(environment, new SplittableRandom());
         int colon = settings.listenAddress().lastIndexOf(':');
         server = Undertow.builder()
                 .setWorker(worker)
@@ -88,54 +89,55 @@
                 .addHttpListener(
                         Integer.parseInt(settings.listenAddress().substring(colon + 1)),
                         settings.listenAddress().substring(0, colon))
-                .setHandler(new HttpApi(node, new UserRequestHandler(node, state, settings, System::currentTimeMillis)))
+                .setHandler(new HttpApi(
+                        controller, new UserRequestHandler(controller, state, settings, System::currentTimeMillis)))
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) Constants.MAX_BODY_BYTES * 2)
-                // A machine that dies or is cut off closes nothing; its connection would be held for as long as we run.
+                // A machine that dies or is cut off never closes its connection, which would stay open forever.
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.IDLE_CONNECTION_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                 .setSocketOption(Options.BACKLOG, ControllerSizing.backlog(settings))
                 .build();
         server.start();
-        Map<String, String> others = new LinkedHashMap<>();
-        for (Settings.Peer p : settings.peers()) {
-            others.put(p.label(), p.endpoint());
+        Map<String, String> peerEndpoints = new LinkedHashMap<>();
+        for (Settings.Peer peer : settings.peers()) {
+            peerEndpoints.put(peer.label(), peer.endpoint());
         }
         peers = new PeerConnections(
                 worker,
-                io,
+                ioThread,
                 ControllerServer::clockS,
-                others,
-                node::answerPeerRequest,
-                node::handlePeerResponse,
-                node::recordPeerRefusal);
+                peerEndpoints,
+                controller::answerPeerRequest,
+                controller::handlePeerResponse,
+                controller::recordPeerRefusal);
         peers.listen(settings.clusterListenAddress());
-        LOG.info("{} listens on {}: {}", settings.label(), settings.listenAddress(), String.join("; ", sizes));
-        io.execute(this::tick);
+        LOG.info("{} listens on {}: {}", settings.label(), settings.listenAddress(), String.join("; ", sizingNotes));
+        ioThread.execute(this::tick);
     }
 
-    /** Ends the node; for rehearsals, as a node in service runs until it is killed. */
+    /** Stops the controller; only used by CDS training runs, as a controller in production runs until it is killed. */
     public void stop() {
         stopped = true;
         server.stop();
-        // Peers are touched by the I/O thread alone, which shuts down once it has closed them.
-        io.execute(() -> {
+        // The peer connections are used by the I/O thread alone, which shuts down once it has closed them.
+        ioThread.execute(() -> {
             peers.close();
             worker.shutdownNow();
         });
     }
 
-    private void after(Runnable r, int ms) {
+    private void runAfter(Runnable action, int delayMs) {
         if (stopped) {
-            return; // what was on its way ends with the worker
+            return; // pending actions are dropped with the XNIO worker
         }
-        io.executeAfter(
+        ioThread.executeAfter(
                 () -> {
                     if (!stopped) {
-                        r.run();
+                        action.run();
                     }
                 },
-                ms,
+                delayMs,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -144,15 +146,15 @@
             return;
         }
         try {
-            node.tick();
+            controller.tick();
             double now = clockS();
-            if (now >= nextPeerS) {
-                nextPeerS = now + Constants.PEER_POLL_INTERVAL_MS / 1000.0;
+            if (now >= nextPeerPollS) {
+                nextPeerPollS = now + Constants.PEER_POLL_INTERVAL_MS / 1000.0;
                 peers.requestStatus();
             }
         } catch (RuntimeException e) {
-            LOG.error("a turn failed", e);
+            LOG.error("a tick of the controller failed", e);
         }
-        io.executeAfter(this::tick, Constants.TICK_MS, TimeUnit.MILLISECONDS);
+        ioThread.executeAfter(this::tick, Constants.TICK_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/org/mountlug/node/Environment.java
+++ b/src/main/java/org/mountlug/node/Environment.java
@@ -10,12 +10,12 @@
 import org.mountlug.wire.HttpTransport;
 
 /**
- * What a controller has round it: its settings, the services it calls and its clocks. Tests put stand-ins here.
+ * The environment of a controller: its settings, the services it calls and its clocks. Tests pass fakes.
  *
- * @param workerClients the way to a worker's address, for direct commands
- * @param clockS steady seconds
- * @param epochMs the time of day, milliseconds
- * @param timer runs something after so many milliseconds, on the thread that everything else of this node runs on
+ * @param workerClients returns the HTTP client for a worker's address, for direct commands
+ * @param clockS monotonic time in seconds
+ * @param epochMs epoch time in milliseconds
+ * @param timer runs an action after a delay in milliseconds, on the one thread of the controller
  */
 public record Environment(
         Settings settings,
