--- a/src/main/java/org/mountlug/node/AdmissionControl.java
+++ b/src/main/java/org/mountlug/node/AdmissionControl.java
@@ -5,17 +5,17 @@
 import org.mountlug.core.admit.QueueDemand;
 import org.mountlug.core.model.JobSpec;
 
-/** How a controller keeps what users ask within what the state service takes. */
+/** Decides which submissions and cancellations a controller admits, so that the state service is not overloaded. */
 public interface AdmissionControl {
-    /** Decides a submission that can run. */
+    /** Decides whether a valid submission that can run is admitted now. */
     AdmissionDecision decide(JobSpec spec);
 
-    /** Whether a cancellation may be carried out now; cancellations go ahead of submissions. */
+    /** Acquires a token for a cancellation; false if none is left. Cancellations go ahead of submissions. */
     boolean tryAcquireCancellation();
 
-    /** What was asked of each queue at this controller, for the leader. */
+    /** Returns the submissions counted for each queue at this controller, for the leader. */
     List<QueueDemand> demand();
 
-    /** One turn of the node's clock. */
+    /** Does the periodic work; called at each tick of the controller. */
     void tick(double nowS);
 }
--- a/src/main/java/org/mountlug/node/AdmissionWatch.java
+++ b/src/main/java/org/mountlug/node/AdmissionWatch.java
@@ -11,16 +11,16 @@
 import org.mountlug.wire.PooledHttpClient;
 
 /**
- * Keeps a controller's view of the published admission table: reads it once and watches it from then on. An answer
- * confirms the view up to the time at which it can have been sent, however late it was read. A view that nothing has
- * confirmed for long is read anew, as a watch may stay open without an answer.
+ * Keeps a controller's view of the published admission table: reads the table once and watches it from then on. A
+ * response of the watch confirms the view up to the latest time at which it can have been sent, however late it is
+ * read. A view that has not been confirmed for long is read again, as a watch may stay open without a response.
  */
 final class AdmissionWatch {
     private final Environment environment;
     private final StateClient state;
     private final AdmissionGate gate;
-    private final Map<String, Map<String, Object>> records = new HashMap<>();
-    private long watchFrom = -1;
+    private final Map<String, Map<String, Object>> recordsByKey = new HashMap<>();
+    private long watchRevision = -1;
     private boolean watching;
     private boolean reading;
     private double nextReadS;
@@ -31,63 +31,63 @@
         this.gate = gate;
     }
 
-    /** Opens the watch whenever it is closed, and reads where it does not answer. */
+    /** Opens the watch whenever it is closed, and reads the table if the watch has not confirmed it for long. */
     void tick(double nowS) {
         double readAfterS = environment.operators().admission().staleViewS() * Constants.Admission.REREAD_AFTER_SHARE;
-        boolean old = watchFrom < 0 || nowS - gate.tableConfirmedAtS() > readAfterS;
-        if (old && !reading && nowS >= nextReadS) {
+        boolean stale = watchRevision < 0 || nowS - gate.tableConfirmedAtS() > readAfterS;
+        if (stale && !reading && nowS >= nextReadS) {
             read(nowS);
         }
-        if (watchFrom >= 0 && !watching) {
+        if (watchRevision >= 0 && !watching) {
             watch(nowS);
         }
     }
 
-    private void read(double askedS) {
+    private void read(double requestedS) {
         reading = true;
-        nextReadS = askedS + Constants.Admission.REREAD_INTERVAL_S;
-        state.list(StateKeys.ADMISSION, null, answer -> {
+        nextReadS = requestedS + Constants.Admission.REREAD_INTERVAL_S;
+        state.list(StateKeys.ADMISSION, null, response -> {
             reading = false;
-            if (answer.status() != 200) {
+            if (response.status() != 200) {
                 return;
             }
-            records.clear();
-            for (Object element : Fields.getList(answer.body(), "rows")) {
+            recordsByKey.clear();
+            for (Object element : Fields.getList(response.body(), "rows")) {
                 Map<String, Object> row = Fields.asMap(element);
-                records.put(Fields.getString(row, "k"), Fields.asMap(row.get("v")));
+                recordsByKey.put(Fields.getString(row, "k"), Fields.asMap(row.get("v")));
             }
-            watchFrom = Fields.getLong(answer.body(), "epoch", 0);
-            gate.updateTable(AdmissionCodec.read(records.values()), askedS);
+            watchRevision = Fields.getLong(response.body(), "epoch", 0);
+            gate.updateTable(AdmissionCodec.read(recordsByKey.values()), requestedS);
         });
     }
 
-    private void watch(double askedS) {
+    private void watch(double requestedS) {
         watching = true;
-        long from = watchFrom;
-        state.watch(StateKeys.ADMISSION, from, Constants.WATCH_BLOCK_MS, answer -> {
+        long startRevision = watchRevision;
+        state.watch(StateKeys.ADMISSION, startRevision, Constants.WATCH_BLOCK_MS, response -> {
             environment.timer().accept(() -> watching = false, Constants.Admission.WATCH_PAUSE_MS);
-            if (answer.status() == 410) {
-                watchFrom = -1;
+            if (response.status() == 410) {
+                watchRevision = -1;
             }
-            if (answer.status() == 200 && watchFrom == from) {
-                take(answer, askedS);
+            if (response.status() == 200 && watchRevision == startRevision) {
+                applyChanges(response, requestedS);
             }
         });
     }
 
-    private void take(PooledHttpClient.Response answer, double askedS) {
-        watchFrom = Math.max(watchFrom, Fields.getLong(answer.body(), "epoch", 0));
-        for (Object element : Fields.getList(answer.body(), "news")) {
+    private void applyChanges(PooledHttpClient.Response response, double requestedS) {
+        watchRevision = Math.max(watchRevision, Fields.getLong(response.body(), "epoch", 0));
+        for (Object element : Fields.getList(response.body(), "news")) {
             Map<String, Object> change = Fields.asMap(element);
             String key = Fields.getString(change, "put");
             if (key != null) {
-                records.put(key, Fields.asMap(change.get("v")));
+                recordsByKey.put(key, Fields.asMap(change.get("v")));
             } else {
-                records.remove(Fields.getString(change, "delete"));
+                recordsByKey.remove(Fields.getString(change, "delete"));
             }
         }
-        double latestS = askedS + Constants.WATCH_BLOCK_MS / 1000.0;
+        double latestResponseS = requestedS + Constants.WATCH_BLOCK_MS / 1000.0;
         double nowS = environment.clockS().getAsDouble();
-        gate.updateTable(AdmissionCodec.read(records.values()), Math.min(nowS, latestS));
+        gate.updateTable(AdmissionCodec.read(recordsByKey.values()), Math.min(nowS, latestResponseS));
     }
 }
--- a/src/main/java/org/mountlug/node/AnnouncedVersions.java
+++ b/src/main/java/org/mountlug/node/AnnouncedVersions.java
@@ -10,13 +10,14 @@
 import org.mountlug.wire.Fields;
 
 /**
- * What every controller of the settings is durably known to understand, by what each has written itself. Not by what a peer
- * says: only what is durable still holds for the next leader. Once true in a term it stays so.
+ * The record formats that every configured controller has announced to read. Only announcements in the state service
+ * count and not responses of peers, as only stored announcements are valid for the next leader too. A format that all
+ * controllers read remains so for the rest of the term.
  */
 final class AnnouncedVersions {
     private final LeaderTerm term;
-    private boolean parts;
-    private boolean zones;
+    private boolean partsReadByAll;
+    private boolean zonesReadByAll;
     private boolean reading;
     private double nextReadS;
 
@@ -24,46 +25,46 @@
         this.term = term;
     }
 
-    /** Looks again while some controller is not known to understand everything. */
+    /** Reads the announcements again while some controller has not announced all formats. */
     void tick(double nowS) {
-        if (parts && zones || reading || nowS < nextReadS) {
+        if (partsReadByAll && zonesReadByAll || reading || nowS < nextReadS) {
             return;
         }
         reading = true;
         nextReadS = nowS + Constants.VERSION_CHECK_INTERVAL_MS / 1000.0;
-        term.environment.state().list(StateKeys.VERSIONS, null, answer -> {
+        term.environment.state().list(StateKeys.VERSIONS, null, response -> {
             reading = false;
-            if (!term.hasEnded() && answer.status() == 200) {
-                read(answer.body());
+            if (!term.hasEnded() && response.status() == 200) {
+                applyAnnouncements(response.body());
             }
         });
     }
 
-    private void read(Map<String, Object> body) {
+    private void applyAnnouncements(Map<String, Object> body) {
         Map<String, Map<String, Object>> announced = new HashMap<>();
         for (Object element : Fields.getList(body, "rows")) {
             Map<String, Object> row = Fields.asMap(element);
             String label = Fields.getString(row, "k").substring(StateKeys.VERSIONS.length());
             announced.put(label, Fields.asMap(row.get("v")));
         }
-        parts |= all(announced, VersionCodec::readsParts);
-        zones |= all(announced, VersionCodec::readsZones);
+        partsReadByAll |= haveAllAnnounced(announced, VersionCodec::readsParts);
+        zonesReadByAll |= haveAllAnnounced(announced, VersionCodec::readsZones);
     }
 
-    private boolean all(Map<String, Map<String, Object>> announced, Predicate<Map<String, Object>> understands) {
+    private boolean haveAllAnnounced(Map<String, Map<String, Object>> announced, Predicate<Map<String, Object>> reads) {
         Settings settings = term.environment.settings();
-        return understands.test(announced.getOrDefault(settings.label(), Map.of()))
+        return reads.test(announced.getOrDefault(settings.label(), Map.of()))
                 && settings.peers().stream()
-                        .allMatch(peer -> understands.test(announced.getOrDefault(peer.label(), Map.of())));
+                        .allMatch(peer -> reads.test(announced.getOrDefault(peer.label(), Map.of())));
     }
 
-    /** Whether all read records in parts. */
+    /** Whether all controllers read record parts. */
     boolean allReadParts() {
-        return parts;
+        return partsReadByAll;
     }
 
-    /** Whether all read the record of the zones' state. */
+    /** Whether all controllers read the record of the zones' state. */
     boolean allReadZones() {
-        return zones;
+        return zonesReadByAll;
     }
 }
--- a/src/main/java/org/mountlug/node/Controller.java
+++ b/src/main/java/org/mountlug/node/Controller.java
@@ -144,10 +144,10 @@
         }
         advanceElection();
         watchLeaderKey();
-        versionAnnouncer.announce(clockS.getAsDouble());
+        versionAnnouncer.tick(clockS.getAsDouble());
         admission.tick(clockS.getAsDouble());
         if (!election.isLeading() && election.leaderLabel() != null) {
-            reservationWatch.watch(clockS.getAsDouble());
+            reservationWatch.tick(clockS.getAsDouble());
         }
         fetchMachineTypes();
         if (leader != null) {
@@ -156,9 +156,9 @@
     }
 
     /**
-     * Detects that the whole process was paused for seconds while its clocks ran on. Its lease may have ended meanwhile,
-     * and machines seem silent only because no report could be read. Called by the tick and before a request is handled,
-     * as a request that waited in a socket may be read before the first tick.
+     * Detects that the whole process was paused for seconds while its clocks ran on. Its lease may have ended
+     * meanwhile, and machines seem silent only because no report could be read. Called by the tick and before a request
+     * is handled, as a request that waited in a socket may be read before the first tick.
      */
     private void detectProcessPause() {
         double nowS = clockS.getAsDouble();
@@ -268,7 +268,7 @@
 
     // ---- leadership -------------------------------------------------------------------------------------------
 
-    /** Returns a random delay of a campaign, as a share of the campaign jitter; recently started controllers go first. */
+    /** Returns a random campaign delay as a share of the campaign jitter; recently started controllers go first. */
     private double randomCampaignDelay() {
         boolean recentlyStarted = clockS.getAsDouble() - startedS < Constants.EARLY_CAMPAIGN_UPTIME_S;
         double part = random.nextDouble();
--- a/src/main/java/org/mountlug/node/ControllerServer.java
+++ b/src/main/java/org/mountlug/node/ControllerServer.java
@@ -42,7 +42,7 @@
     private boolean stopped;
     private final List<String> sizingNotes;
 
-    /** @param sizingNotes notes on the size of the machine for the log, see {@link org.mountlug.settings.ControllerSizing} */
+    /** @param sizingNotes notes of {@link org.mountlug.settings.ControllerSizing} for the log */
     public ControllerServer(Settings settings, OperatorSettings operators, List<String> sizingNotes) {
         this.sizingNotes = sizingNotes;
         this.settings = settings;
@@ -116,7 +116,7 @@
         ioThread.execute(this::tick);
     }
 
-    /** Stops the controller; only used by CDS training runs, as a controller in production runs until it is killed. */
+    /** Stops the controller; for CDS training runs and tests, as a controller in production runs until it is killed. */
     public void stop() {
         stopped = true;
         server.stop();
--- a/src/main/java/org/mountlug/node/FairShareAdmission.java
+++ b/src/main/java/org/mountlug/node/FairShareAdmission.java
@@ -13,7 +13,7 @@
 import org.mountlug.settings.Settings;
 import org.mountlug.store.StateClient;
 
-/** Admits submissions by the table that the leader publishes, see {@link AdmissionGate}. */
+/** Admits submissions according to the table that the leader publishes, see {@link AdmissionGate}. */
 final class FairShareAdmission implements AdmissionControl {
     private final Environment environment;
     private final StateClient state;
@@ -33,7 +33,7 @@
         watch = new AdmissionWatch(environment, gate);
     }
 
-    /** The weight of each team's queue, as operators set it. */
+    /** Returns the weight of each team's queue, as operators set it. */
     static Map<String, Double> weights(Settings settings, OperatorSettings operators) {
         Map<String, Double> weights = new HashMap<>();
         for (Team team : settings.teams()) {
@@ -55,11 +55,11 @@
 
     @Override
     public boolean tryAcquireCancellation() {
-        boolean taken = state.tryAcquireSubmission();
-        if (taken) {
+        boolean acquired = state.tryAcquireSubmission();
+        if (acquired) {
             gate.chargeCancellation(nowMs(), nowS());
         }
-        return taken;
+        return acquired;
     }
 
     @Override
--- a/src/main/java/org/mountlug/node/FinalStateCache.java
+++ b/src/main/java/org/mountlug/node/FinalStateCache.java
@@ -4,7 +4,7 @@
 import com.google.common.cache.CacheBuilder;
 import org.mountlug.Constants;
 
-/** Final states of jobs; they never change, so a node may answer from here at any time. */
+/** Caches the final states of jobs. They never change, so a response may be based on them at any time. */
 final class FinalStateCache {
     record FinalState(boolean done, int tasks) {}
 
--- a/src/main/java/org/mountlug/node/JobRecordWatch.java
+++ b/src/main/java/org/mountlug/node/JobRecordWatch.java
@@ -20,269 +20,284 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How a leader comes to know the live work: all records are read once at the start of its term and watched from then on,
- * and cancellations are also heard of from the nodes that tell users of them. It answers the one question on which the
- * renewal of workers' leases rests: up to when is every cancellation that a user was told of known to this term?
+ * Gives a leader the live jobs: reads all records once at the start of its term and watches them from then on. It also
+ * receives the cancellations that controllers acknowledge to users, and determines the time up to which every
+ * acknowledged cancellation is known to this term. The renewal of worker leases depends on that time.
  */
 final class JobRecordWatch {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordWatch.class);
 
-    /** What the term does with what is read. */
+    /** Receives the records that are read; implemented by the leader's term. */
     interface Listener {
-        /** Whether the job is known, so that its record goes to {@link #updateJob}. */
+        /** Whether the job is known to the term, so that its record goes to {@link #updateJob}. */
         boolean isKnownJob(String id);
 
-        /** A job with all its parts, as read at the start or submitted since. */
-        void addJob(Job j, double nowS);
+        /** Adds a job with all its record parts, as read at the start of the term or submitted since. */
+        void addJob(Job job, double nowS);
 
-        /** A newer look at the record of a known job. */
-        void updateJob(String id, Map<String, Object> v, long stamp, double nowS);
+        /** Applies the record of a known job as read or watched at a revision, which need not be a newer one. */
+        void updateJob(String id, Map<String, Object> record, long revision, double nowS);
 
-        /** A key that nothing needs any more. */
+        /** Adds a key that nothing refers to any more, so that it is deleted. */
         void addOrphanedKey(String key);
 
-        /** Reservations as an earlier leader left them, by key, and the revisions of their keys. */
-        void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> stamps);
+        /** Restores the reservations that an earlier leader stored, and the revisions of their keys, both by job. */
+        void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> revisions);
 
-        /** The first note of which machines have which images, as an earlier leader left it. */
+        /** Restores the first shard of the image index that an earlier leader stored. */
         void restoreImageIndex(Map<String, Object> byMachine);
 
-        /** Everything has been read. */
+        /** Called once when everything has been read. */
         void onLoaded();
 
-        /** A user was told that this job, known to the term, is cancelled. */
+        /** Applies a cancellation of a known job that was acknowledged to a user. */
         void cancelJob(String id);
 
+        /** Whether the term has ended, so that nothing more may be applied to it. */
         boolean hasEnded();
     }
 
     private final StateClient state;
     private final DoubleSupplier clockS;
     private final BiConsumer<Runnable, Integer> timer;
-    private final Listener term;
-    /** Jobs as read at the start of the term, until their parts are read too; null from then on. */
-    private Map<String, Job> loading = new LinkedHashMap<>();
+    private final Listener listener;
+    /** Jobs as read at the start of the term, until their record parts are read too; null from then on. */
+    private Map<String, Job> loadingJobs = new LinkedHashMap<>();
 
-    private final Set<String> unreadable = new HashSet<>();
+    /** Jobs with a record or a record part that could not be decoded; none of their tasks may be started. */
+    private final Set<String> unreadableJobs = new HashSet<>();
     /**
-     * Jobs of which a user was told that they are cancelled and which this term did not know yet, and when we heard of it.
-     * A notice may come while records read before it are still being loaded, so it is kept until there is something to
-     * apply it to, or until an answer of the state service to a later question shows that the job is over.
+     * Acknowledged cancellations of jobs that this term does not know yet, with the monotonic seconds at which they
+     * were received. A cancellation may arrive while older records are still being loaded. It is kept until its job is
+     * known, or until a response of the state service to a later request shows that the job has finished.
      */
-    private final Map<String, Double> noticed = new HashMap<>();
+    private final Map<String, Double> pendingCancellations = new HashMap<>();
 
     private boolean loaded;
-    private long watchFrom;
+    private long watchRevision;
     /**
-     * Steady seconds. The invariant: once loaded, every cancellation that any node told a user of before this time has
-     * been applied to the jobs of this term, or is kept in {@link #told}. It is moved on by two things only.
+     * Monotonic seconds up to which all cancellations are known. Invariant: once loaded, every cancellation that any
+     * controller acknowledged to a user before this time has been applied to the jobs of this term, or is kept in
+     * {@link #pendingCancellations}. Only two events advance it:
      * <ul>
-     * <li>An answer of the state service, to the time at which it was asked for and no later, however long it was on its
-     * way: a watch that stayed open through a refusal says nothing of that time. It counts after what it brings has
-     * been applied. 410 and reloading move it by nothing.</li>
-     * <li>The word of all peers without a gap ({@link org.mountlug.peer.PeerView#cancellationsKnownUntilS}), each of whose lists went
-     * through {@link #recordCancellation} first.</li>
+     * <li>A response of the state service, after its records have been applied, advances it to the time at which the
+     * request was sent and no later, however late the response arrives: a watch that stayed open during an outage of
+     * the state service proves nothing about that time. Status 410 and reloading do not advance it.</li>
+     * <li>Responses of all peers without a gap ({@link org.mountlug.peer.PeerView#cancellationsKnownUntilS}) advance it
+     * after the cancellations that each of them lists went through {@link #recordCancellation}.</li>
      * </ul>
-     * Before everything is loaded nothing is known at all, see {@link #cancellationsKnownUntilS}.
+     * It is not valid until everything is loaded, see {@link #cancellationsKnownUntilS}.
      */
-    private double viewS = Double.NEGATIVE_INFINITY;
+    private double knownUntilS = Double.NEGATIVE_INFINITY;
 
-    JobRecordWatch(StateClient state, DoubleSupplier clockS, BiConsumer<Runnable, Integer> timer, Listener term) {
+    JobRecordWatch(StateClient state, DoubleSupplier clockS, BiConsumer<Runnable, Integer> timer, Listener listener) {
         this.state = state;
         this.clockS = clockS;
         this.timer = timer;
-        this.term = term;
+        this.listener = listener;
     }
 
     void start() {
-        load(null, true);
+        loadRecords(null, true);
     }
 
-    /** Up to when every cancellation that a user was told of is known and applied; never, while records are read. */
+    /**
+     * Returns the monotonic seconds up to which every acknowledged cancellation is known and applied; negative infinity
+     * until everything is loaded.
+     */
     double cancellationsKnownUntilS() {
-        return loaded ? viewS : Double.NEGATIVE_INFINITY;
+        return loaded ? knownUntilS : Double.NEGATIVE_INFINITY;
     }
 
-    /** The peers' lists, all of which have come through {@link #recordCancellation}, reach up to this time without a gap. */
+    /**
+     * Records that the cancellations listed by the peers cover the time up to {@code untilS} without a gap, and that
+     * all of them were passed to {@link #recordCancellation}.
+     */
     void confirmCancellationsUntil(double untilS) {
-        viewS = Math.max(viewS, untilS);
+        knownUntilS = Math.max(knownUntilS, untilS);
     }
 
-    /** A user was told that this job is cancelled; the record says so too, but may not be readable now. */
+    /**
+     * Records that a cancellation of this job was acknowledged to a user. The job's record contains the cancellation as
+     * well, but the state service may be unavailable now.
+     */
     void recordCancellation(String id) {
-        if (loaded && term.isKnownJob(id)) {
-            term.cancelJob(id);
+        if (loaded && listener.isKnownJob(id)) {
+            listener.cancelJob(id);
         } else {
-            noticed.put(id, clockS.getAsDouble());
+            pendingCancellations.put(id, clockS.getAsDouble());
         }
     }
 
-    /** Notices that wait for something to be applied to. */
+    /** Returns the number of cancellations whose job is not known yet. */
     int pendingCancellationCount() {
-        return noticed.size();
+        return pendingCancellations.size();
     }
 
-    private void later(Runnable r, int ms) {
+    private void runLater(Runnable action, int delayMs) {
         timer.accept(
                 () -> {
-                    if (!term.hasEnded()) {
-                        r.run();
+                    if (!listener.hasEnded()) {
+                        action.run();
                     }
                 },
-                ms);
+                delayMs);
     }
 
     // ---- loading ----------------------------------------------------------------------------------------------
 
-    private void load(String after, boolean first) {
-        double asked = clockS.getAsDouble();
-        state.list(StateKeys.LIVE_JOBS, after, a -> {
-            if (term.hasEnded()) {
+    private void loadRecords(String afterKey, boolean firstPage) {
+        double requestedS = clockS.getAsDouble();
+        state.list(StateKeys.LIVE_JOBS, afterKey, response -> {
+            if (listener.hasEnded()) {
                 return;
             }
-            if (a.status() != 200) {
-                LOG.debug("loading: state service answered {}", a.status());
-                later(() -> load(after, first), 300);
+            if (response.status() != 200) {
+                LOG.debug("loading the records: the state service responded with status {}", response.status());
+                runLater(() -> loadRecords(afterKey, firstPage), 300);
                 return;
             }
-            if (first) {
-                watchFrom = Fields.getLong(a.body(), "epoch", 0);
-                viewS = asked; // what is read of the other pages is no older
+            if (firstPage) {
+                watchRevision = Fields.getLong(response.body(), "epoch", 0);
+                knownUntilS = requestedS; // the other pages are read later, so they are no older
             }
-            String last = rows(a.body());
-            if (Fields.getBoolean(a.body(), "hasNext") && last != null) {
-                load(last, false);
+            String lastKey = applyPage(response.body());
+            if (Fields.getBoolean(response.body(), "hasNext") && lastKey != null) {
+                loadRecords(lastKey, false);
             } else {
                 loadParts(null);
             }
         });
     }
 
-    /** Takes in a page of records; the last key, or null if there is none. */
-    private String rows(Map<String, Object> body) {
-        double now = clockS.getAsDouble();
-        String last = null;
-        for (Object o : Fields.getList(body, "rows")) {
-            if (term.hasEnded()) {
+    /** Applies a page of records; returns its last key, or null if it is empty or the term has ended. */
+    private String applyPage(Map<String, Object> body) {
+        double nowS = clockS.getAsDouble();
+        String lastKey = null;
+        for (Object element : Fields.getList(body, "rows")) {
+            if (listener.hasEnded()) {
                 return null;
             }
-            Map<String, Object> r = Fields.asMap(o);
-            last = Fields.getString(r, "k");
+            Map<String, Object> row = Fields.asMap(element);
+            lastKey = Fields.getString(row, "k");
             applyRecord(
-                    last.substring(StateKeys.LIVE_JOBS.length()),
-                    Fields.asMap(r.get("v")),
-                    Fields.getLong(r, "stamp", 0),
-                    now);
+                    lastKey.substring(StateKeys.LIVE_JOBS.length()),
+                    Fields.asMap(row.get("v")),
+                    Fields.getLong(row, "stamp", 0),
+                    nowS);
         }
-        return last;
+        return lastKey;
     }
 
-    /** The parts of the jobs just read. Only a leader writes them, and since we lead no older one's write succeeds. */
-    private void loadParts(String after) {
-        state.list(StateKeys.RECORD_PARTS, after, a -> {
-            if (term.hasEnded()) {
+    /**
+     * Reads the record parts of the jobs just read. They cannot have changed since: only a leader writes parts, and no
+     * write of an earlier leader succeeds once this term has begun.
+     */
+    private void loadParts(String afterKey) {
+        state.list(StateKeys.RECORD_PARTS, afterKey, response -> {
+            if (listener.hasEnded()) {
                 return;
             }
-            if (a.status() != 200) {
-                later(() -> loadParts(after), 300);
+            if (response.status() != 200) {
+                runLater(() -> loadParts(afterKey), 300);
                 return;
             }
-            double now = clockS.getAsDouble();
-            String last = null;
-            for (Object o : Fields.getList(a.body(), "rows")) {
-                Map<String, Object> r = Fields.asMap(o);
-                last = Fields.getString(r, "k");
-                part(last, Fields.asMap(r.get("v")), now);
+            double nowS = clockS.getAsDouble();
+            String lastKey = null;
+            for (Object element : Fields.getList(response.body(), "rows")) {
+                Map<String, Object> row = Fields.asMap(element);
+                lastKey = Fields.getString(row, "k");
+                loadPart(lastKey, Fields.asMap(row.get("v")), nowS);
             }
-            if (Fields.getBoolean(a.body(), "hasNext") && last != null) {
-                loadParts(last);
+            if (Fields.getBoolean(response.body(), "hasNext") && lastKey != null) {
+                loadParts(lastKey);
                 return;
             }
-            List<Job> all = List.copyOf(loading.values());
-            loading = null;
-            for (Job j : all) {
-                adopt(j, now);
+            List<Job> loadedJobs = List.copyOf(loadingJobs.values());
+            loadingJobs = null;
+            for (Job job : loadedJobs) {
+                addJob(job, nowS);
             }
             loadReservations();
         });
     }
 
-    private void part(String key, Map<String, Object> v, double now) {
+    private void loadPart(String key, Map<String, Object> record, double nowS) {
         int slash = key.lastIndexOf('/');
         String id = key.substring(StateKeys.RECORD_PARTS.length(), slash);
-        Job j = loading.get(id);
-        if (j == null) {
-            if (!unreadable.contains(id)) {
-                term.addOrphanedKey(key); // its job is over, and ids never come back
+        Job job = loadingJobs.get(id);
+        if (job == null) {
+            if (!unreadableJobs.contains(id)) {
+                listener.addOrphanedKey(key); // its job has finished, and ids are never reused
             }
             return;
         }
         try {
-            int n = Integer.parseInt(key.substring(slash + 1));
-            if (!j.isSplit()) {
-                j.orphanedParts.set(n); // written ahead by a leader that ended before it mattered
-            } else if (n < j.recordCount()) {
-                JobRecordCodec.readPart(j, n, v, now);
+            int partNumber = Integer.parseInt(key.substring(slash + 1));
+            if (!job.isSplit()) {
+                job.orphanedParts.set(partNumber); // staged by a leader that ended before it split the record
+            } else if (partNumber < job.recordCount()) {
+                JobRecordCodec.readPart(job, partNumber, record, nowS);
             }
         } catch (RuntimeException e) {
-            LOG.error("part {} cannot be read: {}", key, e.toString());
-            // Where its tasks are is not known, so none of the job may be started.
-            loading.remove(id);
-            unreadable.add(id);
+            LOG.error("record part {} cannot be decoded: {}", key, e.toString());
+            // It is not known which machines run the part's tasks, so no task of the job may be started.
+            loadingJobs.remove(id);
+            unreadableJobs.add(id);
         }
     }
 
-    private void adopt(Job j, double now) {
-        String id = j.spec.id();
-        term.addJob(j, now);
-        if (noticed.remove(id) != null && term.isKnownJob(id)) {
-            term.cancelJob(id);
+    private void addJob(Job job, double nowS) {
+        String id = job.spec.id();
+        listener.addJob(job, nowS);
+        if (pendingCancellations.remove(id) != null && listener.isKnownJob(id)) {
+            listener.cancelJob(id);
         }
     }
 
     private void loadReservations() {
-        state.list(StateKeys.RESERVATIONS, null, a -> {
-            if (term.hasEnded()) {
+        state.list(StateKeys.RESERVATIONS, null, response -> {
+            if (listener.hasEnded()) {
                 return;
             }
-            if (a.status() != 200) {
-                later(this::loadReservations, 300);
+            if (response.status() != 200) {
+                runLater(this::loadReservations, 300);
                 return;
             }
-            parseReservations(a.body(), term::restoreReservations);
-            loadImages();
+            parseReservations(response.body(), listener::restoreReservations);
+            loadImageIndex();
         });
     }
 
-    /** Hands on the stored reservations of a listing, by job, and the revisions of their keys. */
+    /** Passes on the reservations of a listing, and the revisions of their keys, both by job. */
     static void parseReservations(
             Map<String, Object> body, BiConsumer<Map<String, List<Reservation>>, Map<String, Long>> consumer) {
         Map<String, List<Reservation>> byJob = new HashMap<>();
-        Map<String, Long> stamps = new HashMap<>();
-        for (Object o : Fields.getList(body, "rows")) {
-            Map<String, Object> r = Fields.asMap(o);
-            String id = Fields.getString(r, "k").substring(StateKeys.RESERVATIONS.length());
-            List<Reservation> l;
+        Map<String, Long> revisions = new HashMap<>();
+        for (Object element : Fields.getList(body, "rows")) {
+            Map<String, Object> row = Fields.asMap(element);
+            String id = Fields.getString(row, "k").substring(StateKeys.RESERVATIONS.length());
+            List<Reservation> reservations;
             try {
-                l = ReservationCodec.read(Fields.asMap(r.get("v")));
+                reservations = ReservationCodec.read(Fields.asMap(row.get("v")));
             } catch (RuntimeException e) {
-                LOG.error("reservation of {} cannot be read: {}", id, e.toString());
-                l = List.of(); // forgotten with the next change of reservations
+                LOG.error("the reservations of job {} cannot be decoded: {}", id, e.toString());
+                reservations = List.of(); // dropped with the next write of reservations
             }
-            byJob.put(id, l);
-            stamps.put(id, Fields.getLong(r, "stamp", 0));
+            byJob.put(id, reservations);
+            revisions.put(id, Fields.getLong(row, "stamp", 0));
         }
-        consumer.accept(byJob, stamps);
+        consumer.accept(byJob, revisions);
     }
 
-    /** What the last leader knew of machines' images; without it every change of leader costs fetches. */
-    private void loadImages() {
-        state.get(StateKeys.IMAGE_INDEX, Constants.STATE_TIMEOUT_MS, a -> {
-            if (term.hasEnded()) {
+    /** Reads the image index of the last leader, without which every change of leader would cost image fetches. */
+    private void loadImageIndex() {
+        state.get(StateKeys.IMAGE_INDEX, Constants.STATE_TIMEOUT_MS, response -> {
+            if (listener.hasEnded()) {
                 return;
             }
-            if (a.status() == 200) {
-                term.restoreImageIndex(Fields.asMap(a.body().get("v")));
+            if (response.status() == 200) {
+                listener.restoreImageIndex(Fields.asMap(response.body().get("v")));
             }
             finishLoading();
         });
@@ -290,95 +305,97 @@
 
     private void finishLoading() {
         loaded = true;
-        for (String id : List.copyOf(noticed.keySet())) {
-            if (term.isKnownJob(id)) {
-                noticed.remove(id);
-                term.cancelJob(id);
+        for (String id : List.copyOf(pendingCancellations.keySet())) {
+            if (listener.isKnownJob(id)) {
+                pendingCancellations.remove(id);
+                listener.cancelJob(id);
             }
         }
-        term.onLoaded();
+        listener.onLoaded();
         watch();
     }
 
     // ---- watching ---------------------------------------------------------------------------------------------
 
     private void watch() {
-        double asked = clockS.getAsDouble();
-        state.watch(StateKeys.LIVE_JOBS, watchFrom, 2000, a -> {
-            if (term.hasEnded()) {
+        double requestedS = clockS.getAsDouble();
+        state.watch(StateKeys.LIVE_JOBS, watchRevision, 2000, response -> {
+            if (listener.hasEnded()) {
                 return;
             }
-            double now = clockS.getAsDouble();
-            if (a.status() == 200) {
-                for (Object o : Fields.getList(a.body(), "news")) {
-                    if (term.hasEnded()) {
+            double nowS = clockS.getAsDouble();
+            if (response.status() == 200) {
+                for (Object element : Fields.getList(response.body(), "news")) {
+                    if (listener.hasEnded()) {
                         return;
                     }
-                    Map<String, Object> e = Fields.asMap(o);
-                    String put = Fields.getString(e, "put");
-                    if (put != null) {
+                    Map<String, Object> change = Fields.asMap(element);
+                    String key = Fields.getString(change, "put");
+                    if (key != null) {
                         applyRecord(
-                                put.substring(StateKeys.LIVE_JOBS.length()),
-                                Fields.asMap(e.get("v")),
-                                Fields.getLong(e, "stamp", 0),
-                                now);
+                                key.substring(StateKeys.LIVE_JOBS.length()),
+                                Fields.asMap(change.get("v")),
+                                Fields.getLong(change, "stamp", 0),
+                                nowS);
                     }
                 }
-                watchFrom = Math.max(watchFrom, Fields.getLong(a.body(), "epoch", watchFrom));
-                viewS = Math.max(viewS, asked);
-                // What was told is durable, so these would have been shown by now, were they not over.
-                noticed.values().removeIf(heardS -> heardS < asked);
-                later(this::watch, Constants.WATCH_PAUSE_MS);
-            } else if (a.status() == 410) {
+                watchRevision = Math.max(watchRevision, Fields.getLong(response.body(), "epoch", watchRevision));
+                knownUntilS = Math.max(knownUntilS, requestedS);
+                // An acknowledged cancellation is durable, so by now the watch would have shown these jobs if they were
+                // still live.
+                pendingCancellations.values().removeIf(receivedS -> receivedS < requestedS);
+                runLater(this::watch, Constants.WATCH_PAUSE_MS);
+            } else if (response.status() == 410) {
                 reload(null, true);
             } else {
-                later(this::watch, 500);
+                runLater(this::watch, 500);
             }
         });
     }
 
-    private void reload(String after, boolean first) {
-        state.list(StateKeys.LIVE_JOBS, after, a -> {
-            if (term.hasEnded()) {
+    private void reload(String afterKey, boolean firstPage) {
+        state.list(StateKeys.LIVE_JOBS, afterKey, response -> {
+            if (listener.hasEnded()) {
                 return;
             }
-            if (a.status() != 200) {
-                later(() -> reload(after, first), 500);
+            if (response.status() != 200) {
+                runLater(() -> reload(afterKey, firstPage), 500);
                 return;
             }
-            if (first) {
-                watchFrom = Fields.getLong(a.body(), "epoch", 0);
+            if (firstPage) {
+                watchRevision = Fields.getLong(response.body(), "epoch", 0);
             }
-            String last = rows(a.body());
-            if (Fields.getBoolean(a.body(), "hasNext") && last != null) {
-                reload(last, false);
+            String lastKey = applyPage(response.body());
+            if (Fields.getBoolean(response.body(), "hasNext") && lastKey != null) {
+                reload(lastKey, false);
             } else {
                 watch();
             }
         });
     }
 
-    /** A record as the state service shows it: new, the term's own write, or one that a user's abort has changed. */
-    void applyRecord(String id, Map<String, Object> v, long stamp, double now) {
-        if (term.isKnownJob(id)) {
-            term.updateJob(id, v, stamp, now);
+    /** Applies a record as stored: a new job, this term's own write, or a record changed by a user's cancellation. */
+    void applyRecord(String id, Map<String, Object> record, long revision, double nowS) {
+        if (listener.isKnownJob(id)) {
+            listener.updateJob(id, record, revision, nowS);
             return;
         }
-        Job n;
+        Job job;
         try {
-            n = JobRecordCodec.read(id, v, stamp, now);
+            job = JobRecordCodec.read(id, record, revision, nowS);
         } catch (RuntimeException e) {
-            // One record that nobody can read must not keep the others from being served.
-            LOG.error("record of {} cannot be read: {}", id, e.toString());
-            unreadable.add(id);
+            // One record that cannot be decoded must not keep the other jobs from being scheduled.
+            LOG.error("the record of job {} cannot be decoded: {}", id, e.toString());
+            unreadableJobs.add(id);
             return;
         }
-        if (loading != null) {
-            loading.put(id, n);
+        if (loadingJobs != null) {
+            loadingJobs.put(id, job);
         }
-        // Later, a job with parts that we do not know is one that is over for us: a late word of our own writes.
-        else if (!n.isSplit() && !unreadable.contains(id)) {
-            adopt(n, now);
+        // After loading, an unknown job with record parts has finished in this term: only a late response of the watch
+        // shows this term's own earlier write.
+        else if (!job.isSplit() && !unreadableJobs.contains(id)) {
+            addJob(job, nowS);
         }
     }
 }
--- a/src/main/java/org/mountlug/node/Metrics.java
+++ b/src/main/java/org/mountlug/node/Metrics.java
@@ -16,156 +16,162 @@
 import org.mountlug.core.zone.ZoneStatus;
 
 /**
- * The service's meters. The registry is built when first asked for: its start-up costs more of a quarter of a core than
- * a controller that is needed back can spare, so until then plain numbers count.
+ * The metrics of a controller. The registry is created at the first scrape, as its creation would delay the start of a
+ * controller on a quarter of a core; until then plain counters collect the values.
  */
 public final class Metrics {
-    private final AtomicLong placed = new AtomicLong();
-    private final AtomicLong done = new AtomicLong();
-    private final AtomicLong cancelled = new AtomicLong();
-    private final AtomicLong beats = new AtomicLong();
+    private final AtomicLong placedTasks = new AtomicLong();
+    private final AtomicLong completedJobs = new AtomicLong();
+    private final AtomicLong cancelledJobs = new AtomicLong();
+    private final AtomicLong reports = new AtomicLong();
     private final AtomicLong submissions = new AtomicLong();
-    private final AtomicLong overBudget = new AtomicLong();
-    private final Map<String, AtomicLong> deferredByTeam = new ConcurrentHashMap<>();
-    private final AtomicLong unserved = new AtomicLong();
-    private final AtomicLong unanswered = new AtomicLong();
-    private final AtomicLong standstills = new AtomicLong();
-    private final AtomicLong rentalsRefused = new AtomicLong();
-    private volatile FleetStatus fleet = new FleetStatus(0, 0, 0, 0, 0, 0, 0, 0);
+    private final AtomicLong rateLimitedRequests = new AtomicLong();
+    private final Map<String, AtomicLong> deferredSubmissionsByTeam = new ConcurrentHashMap<>();
+    private final AtomicLong unservedRequests = new AtomicLong();
+    private final AtomicLong unansweredReports = new AtomicLong();
+    private final AtomicLong processPauses = new AtomicLong();
+    private final AtomicLong refusedRentals = new AtomicLong();
+    private volatile FleetStatus fleetStatus = new FleetStatus(0, 0, 0, 0, 0, 0, 0, 0);
     private final AtomicInteger reservations = new AtomicInteger();
     private final AtomicInteger leading = new AtomicInteger();
-    private volatile List<ZoneStatus> zones = List.of();
+    private volatile List<ZoneStatus> zoneStatuses = List.of();
     private PrometheusMeterRegistry registry;
-    private MultiGauge zoneStates;
-    private MultiGauge zoneWindows;
-    private MultiGauge deferrals;
+    private MultiGauge zoneStateGauge;
+    private MultiGauge zoneRampStartsGauge;
+    private MultiGauge deferredSubmissionsGauge;
 
     /** Counts tasks that a round has placed. */
-    public void countPlacedTasks(int n) {
-        placed.addAndGet(n);
+    public void countPlacedTasks(int count) {
+        placedTasks.addAndGet(count);
     }
 
-    /** Counts a job that is over, done or cancelled. */
+    /** Counts a finished job: done if {@code completed}, else cancelled. */
     public void countFinishedJob(boolean completed) {
-        (completed ? done : cancelled).incrementAndGet();
+        (completed ? completedJobs : cancelledJobs).incrementAndGet();
     }
 
     /** Counts a worker's report. */
     public void countReport() {
-        beats.incrementAndGet();
+        reports.incrementAndGet();
     }
 
-    /** Counts a submission, whatever its answer. */
+    /** Counts a submission, whatever the response. */
     public void countSubmission() {
         submissions.incrementAndGet();
     }
 
-    /** Counts a request of a user that was refused for the budget's sake. */
+    /** Counts a user's request that was rejected for the rate limit. */
     public void countRateLimitedRequest() {
-        overBudget.incrementAndGet();
+        rateLimitedRequests.incrementAndGet();
     }
 
-    /** How many requests have been refused for the budget's sake. */
+    /** Returns the number of users' requests that were rejected for the rate limit. */
     public long rateLimitedRequestCount() {
-        return overBudget.get();
+        return rateLimitedRequests.get();
     }
 
-    /** Counts a submission of a team that was deferred, as others go first; only teams of the settings submit. */
+    /** Counts a submission that was deferred because other submissions go first; only configured teams submit. */
     public void countDeferredSubmission(String team) {
-        deferredByTeam.computeIfAbsent(team, unseen -> new AtomicLong()).incrementAndGet();
+        deferredSubmissionsByTeam
+                .computeIfAbsent(team, unseen -> new AtomicLong())
+                .incrementAndGet();
     }
 
-    /** Counts a request of a user that could not be served. */
+    /** Counts a user's request that could not be served. */
     public void countUnservedRequest() {
-        unserved.incrementAndGet();
+        unservedRequests.incrementAndGet();
     }
 
-    /** Counts a worker's report that a leader left without an answer. */
+    /** Counts a worker's report to which a leader sent no response. */
     public void countUnansweredReport() {
-        unanswered.incrementAndGet();
+        unansweredReports.incrementAndGet();
     }
 
-    /** Counts a standstill of the process. */
+    /** Counts a pause of the process. */
     public void countProcessPause() {
-        standstills.incrementAndGet();
+        processPauses.incrementAndGet();
     }
 
-    /** Counts a request for machines that the cloud had none for. */
+    /** Counts a request for machines that the cloud did not fulfil. */
     public void countRefusedRental() {
-        rentalsRefused.incrementAndGet();
+        refusedRentals.incrementAndGet();
     }
 
-    /** Shows how jobs and machines stand, as the leader knows them. */
+    /** Sets the numbers of jobs and machines, as the leader knows them. */
     public void setFleetStatus(FleetStatus status) {
-        fleet = status;
+        fleetStatus = status;
     }
 
-    /** Shows how the zones stand, as the leader tracks them. */
+    /** Sets the status of the zones, as the leader tracks them. */
     public void setZoneStatuses(List<ZoneStatus> status) {
-        zones = status;
+        zoneStatuses = status;
     }
 
-    /** Shows how many gangs hold reservations. */
+    /** Sets the number of gangs that hold reservations. */
     public void setReservationCount(int gangs) {
         reservations.set(gangs);
     }
 
-    /** Shows whether this controller leads. */
-    public void setLeading(boolean is) {
-        leading.set(is ? 1 : 0);
+    /** Sets whether this controller leads. */
+    public void setLeading(boolean leads) {
+        leading.set(leads ? 1 : 0);
     }
 
-    /** All meters in the Prometheus text format. */
+    /** Returns all metrics in the Prometheus text format. */
     public synchronized String scrape() {
         if (registry == null) {
             registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-            counter("mountlug.tasks.placed", placed);
-            counter("mountlug.jobs.done", done);
-            counter("mountlug.jobs.cancelled", cancelled);
-            counter("mountlug.reports", beats);
-            counter("mountlug.submissions", submissions);
-            counter("mountlug.requests.over.budget", overBudget);
-            counter("mountlug.requests.unserved", unserved);
-            counter("mountlug.reports.unanswered", unanswered);
-            counter("mountlug.standstills", standstills);
-            counter("mountlug.rentals.refused", rentalsRefused);
-            gauge("mountlug.jobs.live", FleetStatus::liveJobs);
-            gauge("mountlug.jobs.suspected", FleetStatus::suspectedJobs);
-            gauge("mountlug.machines", FleetStatus::machines);
-            gauge("mountlug.machines.booting", FleetStatus::booting);
-            gauge("mountlug.machines.silent", FleetStatus::silent);
-            gauge("mountlug.machines.quarantined", FleetStatus::quarantined);
-            gauge("mountlug.term.tasks.lost", FleetStatus::lostTasks);
-            gauge("mountlug.term.tasks.failed", FleetStatus::failedTasks);
+            registerCounter("mountlug.tasks.placed", placedTasks);
+            registerCounter("mountlug.jobs.done", completedJobs);
+            registerCounter("mountlug.jobs.cancelled", cancelledJobs);
+            registerCounter("mountlug.reports", reports);
+            registerCounter("mountlug.submissions", submissions);
+            registerCounter("mountlug.requests.over.budget", rateLimitedRequests);
+            registerCounter("mountlug.requests.unserved", unservedRequests);
+            registerCounter("mountlug.reports.unanswered", unansweredReports);
+            registerCounter("mountlug.standstills", processPauses);
+            registerCounter("mountlug.rentals.refused", refusedRentals);
+            registerGauge("mountlug.jobs.live", FleetStatus::liveJobs);
+            registerGauge("mountlug.jobs.suspected", FleetStatus::suspectedJobs);
+            registerGauge("mountlug.machines", FleetStatus::machines);
+            registerGauge("mountlug.machines.booting", FleetStatus::booting);
+            registerGauge("mountlug.machines.silent", FleetStatus::silent);
+            registerGauge("mountlug.machines.quarantined", FleetStatus::quarantined);
+            registerGauge("mountlug.term.tasks.lost", FleetStatus::lostTasks);
+            registerGauge("mountlug.term.tasks.failed", FleetStatus::failedTasks);
             Gauge.builder("mountlug.reservations", reservations, AtomicInteger::get)
                     .register(registry);
-            zoneStates = MultiGauge.builder("mountlug.zone.state").register(registry);
-            deferrals = MultiGauge.builder("mountlug.submissions.deferred").register(registry);
-            zoneWindows = MultiGauge.builder("mountlug.zone.ramp.starts").register(registry);
+            zoneStateGauge = MultiGauge.builder("mountlug.zone.state").register(registry);
+            deferredSubmissionsGauge =
+                    MultiGauge.builder("mountlug.submissions.deferred").register(registry);
+            zoneRampStartsGauge =
+                    MultiGauge.builder("mountlug.zone.ramp.starts").register(registry);
             Gauge.builder("mountlug.leading", leading, AtomicInteger::get).register(registry);
         }
-        zoneStates.register(rows(zone -> zone.state().ordinal()), true);
-        zoneWindows.register(rows(ZoneStatus::window), true);
-        List<MultiGauge.Row<?>> teams = new ArrayList<>();
-        deferredByTeam.forEach((team, count) -> teams.add(MultiGauge.Row.of(Tags.of("team", team), count)));
-        deferrals.register(teams, true);
+        zoneStateGauge.register(zoneRows(zone -> zone.state().ordinal()), true);
+        zoneRampStartsGauge.register(zoneRows(ZoneStatus::window), true);
+        List<MultiGauge.Row<?>> deferredRows = new ArrayList<>();
+        deferredSubmissionsByTeam.forEach(
+                (team, count) -> deferredRows.add(MultiGauge.Row.of(Tags.of("team", team), count)));
+        deferredSubmissionsGauge.register(deferredRows, true);
         return registry.scrape();
     }
 
-    private List<MultiGauge.Row<?>> rows(ToDoubleFunction<ZoneStatus> value) {
+    private List<MultiGauge.Row<?>> zoneRows(ToDoubleFunction<ZoneStatus> value) {
         List<MultiGauge.Row<?>> rows = new ArrayList<>();
-        for (ZoneStatus zone : zones) {
+        for (ZoneStatus zone : zoneStatuses) {
             rows.add(MultiGauge.Row.of(Tags.of("zone", zone.zone()), value.applyAsDouble(zone)));
         }
         return rows;
     }
 
-    private void gauge(String name, ToDoubleFunction<FleetStatus> value) {
-        Gauge.builder(name, this, metrics -> value.applyAsDouble(metrics.fleet)).register(registry);
+    private void registerGauge(String name, ToDoubleFunction<FleetStatus> value) {
+        Gauge.builder(name, this, metrics -> value.applyAsDouble(metrics.fleetStatus))
+                .register(registry);
     }
 
-    private void counter(String name, AtomicLong from) {
-        io.micrometer.core.instrument.FunctionCounter.builder(name, from, AtomicLong::get)
+    private void registerCounter(String name, AtomicLong count) {
+        io.micrometer.core.instrument.FunctionCounter.builder(name, count, AtomicLong::get)
                 .register(registry);
     }
 }
--- a/src/main/java/org/mountlug/node/OverloadLog.java
+++ b/src/main/java/org/mountlug/node/OverloadLog.java
@@ -4,29 +4,35 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Notes in the log when users begin to ask more than the budget allows, and when that is over. */
+/** Logs when users' requests begin to exceed the rate limit, and when they are within it again. */
 final class OverloadLog {
     private static final Logger LOG = LoggerFactory.getLogger(OverloadLog.class);
 
-    private long refusedBefore;
-    private long refusedAtFirst;
-    private double lastS = Double.NEGATIVE_INFINITY;
+    private long lastRateLimitedCount;
+    private long rateLimitedCountAtOnset;
+    private double lastRateLimitedS = Double.NEGATIVE_INFINITY;
     private boolean overloaded;
 
-    /** Looks at the number of requests refused so far. */
-    void observe(long refused, double nowS) {
-        if (refused > refusedBefore) {
-            lastS = nowS;
+    /**
+     * Observes the load; to be called at each tick.
+     *
+     * @param rateLimitedCount users' requests that were rejected for the rate limit so far
+     */
+    void observe(long rateLimitedCount, double nowS) {
+        if (rateLimitedCount > lastRateLimitedCount) {
+            lastRateLimitedS = nowS;
             if (!overloaded) {
                 overloaded = true;
-                refusedAtFirst = refusedBefore;
-                LOG.info("users ask more than this controller's part of the state service's budget: refusing with 429");
+                rateLimitedCountAtOnset = lastRateLimitedCount;
+                LOG.info("users' requests exceed this controller's rate limit: rejecting them with status 429");
             }
-        } else if (overloaded && nowS - lastS > Constants.OVERLOAD_CLEAR_S) {
+        } else if (overloaded && nowS - lastRateLimitedS > Constants.OVERLOAD_CLEAR_S) {
             overloaded = false;
-            LOG.info("users' requests are within the budget again, {} were refused", refused - refusedAtFirst);
+            LOG.info(
+                    "users' requests are within the rate limit again, {} were rejected",
+                    rateLimitedCount - rateLimitedCountAtOnset);
         }
-        refusedBefore = refused;
+        lastRateLimitedCount = rateLimitedCount;
     }
 
     boolean isOverloaded() {
--- a/src/main/java/org/mountlug/node/RateLimitAdmission.java
+++ b/src/main/java/org/mountlug/node/RateLimitAdmission.java
@@ -6,7 +6,7 @@
 import org.mountlug.core.model.JobSpec;
 import org.mountlug.store.StateClient;
 
-/** Admits submissions while this controller's request budget lasts, whoever asks. */
+/** Admits submissions within this controller's rate limit, without regard to teams. */
 final class RateLimitAdmission implements AdmissionControl {
     private final StateClient state;
 
--- a/src/main/java/org/mountlug/node/ReportCounter.java
+++ b/src/main/java/org/mountlug/node/ReportCounter.java
@@ -1,37 +1,38 @@
 package org.mountlug.node;
 
-/** How many workers' reports came within the last seconds, by the second. */
+/** Counts the workers' reports of the last seconds, in buckets of one second. */
 final class ReportCounter {
-    private final int[] counts;
-    private long second = Long.MIN_VALUE;
+    private final int[] countsBySecond;
+    private long latestSecond = Long.MIN_VALUE;
 
     ReportCounter(double windowS) {
-        this.counts = new int[(int) Math.ceil(windowS) + 1];
+        this.countsBySecond = new int[(int) Math.ceil(windowS) + 1];
     }
 
-    private void turnTo(double nowS) {
-        long s = (long) Math.floor(nowS);
-        if (second == Long.MIN_VALUE) {
-            second = s;
+    /** Clears the buckets of the seconds that have passed since the last call. */
+    private void advanceTo(double nowS) {
+        long second = (long) Math.floor(nowS);
+        if (latestSecond == Long.MIN_VALUE) {
+            latestSecond = second;
         }
-        for (long k = Math.max(second + 1, s - counts.length + 1); k <= s; k++) {
-            counts[(int) (k % counts.length)] = 0;
+        for (long k = Math.max(latestSecond + 1, second - countsBySecond.length + 1); k <= second; k++) {
+            countsBySecond[(int) (k % countsBySecond.length)] = 0;
         }
-        second = Math.max(second, s);
+        latestSecond = Math.max(latestSecond, second);
     }
 
     void recordReport(double nowS) {
-        turnTo(nowS);
-        counts[(int) (second % counts.length)]++;
+        advanceTo(nowS);
+        countsBySecond[(int) (latestSecond % countsBySecond.length)]++;
     }
 
-    /** Reports within the window and up to a second more. */
+    /** Returns the number of reports within the window and up to a second before it. */
     int recentCount(double nowS) {
-        turnTo(nowS);
-        int n = 0;
-        for (int c : counts) {
-            n += c;
+        advanceTo(nowS);
+        int total = 0;
+        for (int count : countsBySecond) {
+            total += count;
         }
-        return n;
+        return total;
     }
 }
--- a/src/main/java/org/mountlug/node/ReservationWatch.java
+++ b/src/main/java/org/mountlug/node/ReservationWatch.java
@@ -9,63 +9,63 @@
 import org.mountlug.wire.Fields;
 
 /**
- * Followers watch the reservations, as the design has it, so that every node can tell what is held for whom. A new leader
- * still reads them itself before its first round: what a watch last said may be behind.
+ * Watches the reservations as a follower, so that every controller can show their number. A new leader reads them
+ * itself before its first round, as the last response of a watch may be out of date.
  */
 final class ReservationWatch {
     private final StateClient state;
     private final Metrics metrics;
-    private final Set<String> reserved = new HashSet<>();
-    private long from = -1;
+    private final Set<String> reservationKeys = new HashSet<>();
+    private long watchRevision = -1;
     private boolean watching;
-    private double nextS;
+    private double nextOpenS;
 
     ReservationWatch(StateClient state, Metrics metrics) {
         this.state = state;
         this.metrics = metrics;
     }
 
-    /** Opens the watch whenever it is closed and it is time; to be called while this node follows. */
-    void watch(double now) {
-        if (watching || now < nextS) {
+    /** Opens the watch if it is closed and the pause after its last opening is over; to be called by followers only. */
+    void tick(double nowS) {
+        if (watching || nowS < nextOpenS) {
             return;
         }
         watching = true;
-        nextS = now + Constants.RESERVATION_WATCH_PAUSE_MS / 1000.0;
-        if (from < 0) {
-            state.list(StateKeys.RESERVATIONS, null, a -> {
+        nextOpenS = nowS + Constants.RESERVATION_WATCH_PAUSE_MS / 1000.0;
+        if (watchRevision < 0) {
+            state.list(StateKeys.RESERVATIONS, null, response -> {
                 watching = false;
-                if (a.status() != 200) {
+                if (response.status() != 200) {
                     return;
                 }
-                reserved.clear();
-                for (Object o : Fields.getList(a.body(), "rows")) {
-                    reserved.add(Fields.getString(Fields.asMap(o), "k"));
+                reservationKeys.clear();
+                for (Object element : Fields.getList(response.body(), "rows")) {
+                    reservationKeys.add(Fields.getString(Fields.asMap(element), "k"));
                 }
-                from = Fields.getLong(a.body(), "epoch", 0);
-                metrics.setReservationCount(reserved.size());
+                watchRevision = Fields.getLong(response.body(), "epoch", 0);
+                metrics.setReservationCount(reservationKeys.size());
             });
             return;
         }
-        state.watch(StateKeys.RESERVATIONS, from, Constants.WATCH_BLOCK_MS, a -> {
+        state.watch(StateKeys.RESERVATIONS, watchRevision, Constants.WATCH_BLOCK_MS, response -> {
             watching = false;
-            if (a.status() == 410) {
-                from = -1;
+            if (response.status() == 410) {
+                watchRevision = -1;
             }
-            if (a.status() != 200) {
+            if (response.status() != 200) {
                 return;
             }
-            from = Math.max(from, Fields.getLong(a.body(), "epoch", 0));
-            for (Object o : Fields.getList(a.body(), "news")) {
-                Map<String, Object> e = Fields.asMap(o);
-                String put = Fields.getString(e, "put");
-                if (put != null) {
-                    reserved.add(put);
+            watchRevision = Math.max(watchRevision, Fields.getLong(response.body(), "epoch", 0));
+            for (Object element : Fields.getList(response.body(), "news")) {
+                Map<String, Object> change = Fields.asMap(element);
+                String key = Fields.getString(change, "put");
+                if (key != null) {
+                    reservationKeys.add(key);
                 } else {
-                    reserved.remove(Fields.getString(e, "delete"));
+                    reservationKeys.remove(Fields.getString(change, "delete"));
                 }
             }
-            metrics.setReservationCount(reserved.size());
+            metrics.setReservationCount(reservationKeys.size());
         });
     }
 }
--- a/src/main/java/org/mountlug/node/StoredReportCounts.java
+++ b/src/main/java/org/mountlug/node/StoredReportCounts.java
@@ -10,80 +10,83 @@
 import org.mountlug.wire.Fields;
 
 /**
- * How many workers' reports come to the other controllers, told through the state service where the leader cannot be
- * told directly. A follower that hears workers, and cannot reach the leader, writes their number; a leader that hears
- * none reads it. A number counts only if it was written during this term and anew since the last reading, so that what is
- * old, or carried out late, proves nothing.
+ * Tells the leader through the state service how many workers' reports the other controllers receive, where they cannot
+ * reach it directly. A follower that receives reports and cannot reach the leader writes their number; a leader that
+ * receives none reads it. A number counts only if it was written during this term and again since the last read, so
+ * that an old or delayed write has no effect.
  */
 final class StoredReportCounts {
     private final StateClient state;
     private final String label;
-    /** By controller, the revision of its number at the last reading. */
-    private final Map<String, Long> stamps = new HashMap<>();
-    /** The term of the last reading, by its token. */
-    private long term = -1;
+    /** The revision of each controller's number at the last read, by its key. */
+    private final Map<String, Long> lastRevisions = new HashMap<>();
+    /** The fencing token of the term in which the numbers were last read. */
+    private long lastReadToken = -1;
 
-    private boolean busy;
-    private double nextS;
-    private int elsewhere;
-    private double readS = Double.NEGATIVE_INFINITY;
+    private boolean callInProgress;
+    private double nextCallS;
+    private int peerReports;
+    private double lastReadS = Double.NEGATIVE_INFINITY;
 
     StoredReportCounts(StateClient state, String label) {
         this.state = state;
         this.label = label;
     }
 
-    /** Writes how many reports came to this follower while the controller with this token leads. */
+    /**
+     * Writes the number of reports that this follower received. The write fails if the leader with this token does not
+     * lead any more.
+     */
     void write(int reports, long leaderToken, double nowS) {
-        if (busy || nowS < nextS) {
+        if (callInProgress || nowS < nextCallS) {
             return;
         }
-        busy = true;
-        nextS = nowS + Constants.STORED_COUNTS_INTERVAL_S;
+        callInProgress = true;
+        nextCallS = nowS + Constants.STORED_COUNTS_INTERVAL_S;
         Map<String, Object> value = new LinkedHashMap<>();
         value.put("n", (long) reports);
         value.put("t", leaderToken);
-        Transaction change = new Transaction()
+        Transaction transaction = new Transaction()
                 .requireRevision(StateKeys.LEADER, leaderToken)
                 .put(StateKeys.REPORT_COUNTS + label, value);
-        state.commit(change, answer -> busy = false);
+        state.commit(transaction, response -> callInProgress = false);
     }
 
-    /** Reads what the others have written, for the leader with this token. */
+    /** Reads the numbers that the other controllers have written during the term with this token. */
     void read(long token, double nowS) {
-        if (busy || nowS < nextS) {
+        if (callInProgress || nowS < nextCallS) {
             return;
         }
-        busy = true;
-        nextS = nowS + Constants.STORED_COUNTS_INTERVAL_S + Constants.STORED_COUNTS_MARGIN_S;
-        state.list(StateKeys.REPORT_COUNTS, null, answer -> {
-            busy = false;
-            if (answer.status() != 200) {
+        callInProgress = true;
+        nextCallS = nowS + Constants.STORED_COUNTS_INTERVAL_S + Constants.STORED_COUNTS_MARGIN_S;
+        state.list(StateKeys.REPORT_COUNTS, null, response -> {
+            callInProgress = false;
+            if (response.status() != 200) {
                 return;
             }
-            boolean first = term != token;
-            if (first) {
-                stamps.clear();
-                term = token;
+            boolean firstRead = lastReadToken != token;
+            if (firstRead) {
+                lastRevisions.clear();
+                lastReadToken = token;
             }
             int sum = 0;
-            for (Object row : Fields.getList(answer.body(), "rows")) {
-                Map<String, Object> r = Fields.asMap(row);
-                Map<String, Object> value = Fields.asMap(r.get("v"));
-                long stamp = Fields.getLong(r, "stamp", 0);
-                Long before = stamps.put(Fields.getString(r, "k", ""), stamp);
-                boolean anew = !first && (before == null || before < stamp);
-                if (anew && Fields.getLong(value, "t", -1) == token) {
+            for (Object element : Fields.getList(response.body(), "rows")) {
+                Map<String, Object> row = Fields.asMap(element);
+                Map<String, Object> value = Fields.asMap(row.get("v"));
+                long revision = Fields.getLong(row, "stamp", 0);
+                Long previousRevision = lastRevisions.put(Fields.getString(row, "k", ""), revision);
+                boolean updated = !firstRead && (previousRevision == null || previousRevision < revision);
+                if (updated && Fields.getLong(value, "t", -1) == token) {
                     sum += (int) Fields.getLong(value, "n", 0);
                 }
             }
-            elsewhere = sum;
-            readS = nowS;
+            peerReports = sum;
+            lastReadS = nowS;
         });
     }
 
-    /** How many reports came to the others, as far as lately read. */
+    /** Returns the sum of the numbers last read; 0 if that read is too old. */
     int peerReportCount(double nowS) {
-        return nowS - readS < 2 * Constants.STORED_COUNTS_INTERVAL_S ? elsewhere : 0;
+        return nowS - lastReadS < 2 * Constants.STORED_COUNTS_INTERVAL_S ? peerReports : 0;
     }
 }
--- a/src/main/java/org/mountlug/node/VersionAnnouncer.java
+++ b/src/main/java/org/mountlug/node/VersionAnnouncer.java
@@ -9,46 +9,46 @@
 import org.mountlug.wire.Fields;
 
 /**
- * Writes down, once in a life, which records this process reads. Leaders write what older versions do not know only when
- * every controller has, see {@link RecordSplitter}; so it stays when the process ends, and whoever starts an older version
- * again deletes it first.
+ * Writes to the state service, once in the life of a process, which record formats this controller reads. Leaders use a
+ * format that older versions do not read only once every controller has announced it, see {@link RecordSplitter}. The
+ * announcement remains when the process ends, so an operator who goes back to an older version must delete it first.
  */
 final class VersionAnnouncer {
     private final StateClient state;
     private final String label;
     private boolean announced;
     private boolean announcing;
-    private double nextS;
+    private double nextAttemptS;
 
     VersionAnnouncer(StateClient state, String label) {
         this.state = state;
         this.label = label;
     }
 
-    /** Tries to write it, until it is written. */
-    void announce(double now) {
-        if (announced || announcing || now < nextS) {
+    /** Attempts to write the announcement until it is stored. */
+    void tick(double nowS) {
+        if (announced || announcing || nowS < nextAttemptS) {
             return;
         }
         announcing = true;
-        nextS = now + Constants.VERSION_ANNOUNCE_RETRY_MS / 1000.0;
+        nextAttemptS = nowS + Constants.VERSION_ANNOUNCE_RETRY_MS / 1000.0;
         String key = StateKeys.VERSIONS + label;
-        state.get(key, Constants.STATE_TIMEOUT_MS, a -> {
-            Map<String, Object> written = Fields.asMap(a.body().get("v"));
-            if (a.status() == 200 && VersionCodec.readsParts(written) && VersionCodec.readsZones(written)) {
+        state.get(key, Constants.STATE_TIMEOUT_MS, response -> {
+            Map<String, Object> stored = Fields.asMap(response.body().get("v"));
+            if (response.status() == 200 && VersionCodec.readsParts(stored) && VersionCodec.readsZones(stored)) {
                 announced = true;
             }
-            if (announced || a.status() != 200 && a.status() != 404) {
+            if (announced || response.status() != 200 && response.status() != 404) {
                 announcing = false;
                 return;
             }
             state.commit(
                     new Transaction()
-                            .requireRevision(key, Fields.getLong(a.body(), "stamp", 0))
+                            .requireRevision(key, Fields.getLong(response.body(), "stamp", 0))
                             .put(key, VersionCodec.announcement()),
-                    b -> {
+                    commitResponse -> {
                         announcing = false;
-                        announced = b.status() == 200;
+                        announced = commitResponse.status() == 200;
                     });
         });
     }
--- a/src/main/java/org/mountlug/node/package-info.java
+++ b/src/main/java/org/mountlug/node/package-info.java
@@ -1,2 +1,2 @@
-/** One controller: its election, its term as a leader, its process. */
+/** A controller: its election, its terms as a leader and its process. */
 package org.mountlug.node;
