--- a/src/test/java/org/mountlug/node/JobRecordWatchTest.java
+++ b/src/test/java/org/mountlug/node/JobRecordWatchTest.java
@@ -20,34 +20,38 @@
 import org.mountlug.wire.HttpTransport;
 import org.mountlug.wire.PooledHttpClient;
 
-/** Up to when every cancellation that a user was told of is known, as answers come late, in any state of the loading. */
+/**
+ * Guards against a leader that renews worker leases although it does not know of an acknowledged cancellation, because
+ * responses arrive late or the records are still being loaded.
+ */
 class JobRecordWatchTest {
-    private record Request(String path, Consumer<PooledHttpClient.Response> then) {}
+    private record Request(String path, Consumer<PooledHttpClient.Response> onResponse) {}
 
-    private double now = 100;
+    private double nowS = 100;
     private final ArrayDeque<Request> requests = new ArrayDeque<>();
-    private final List<Runnable> later = new ArrayList<>();
-    private final Set<String> jobs = new HashSet<>();
-    private final List<String> cancelled = new ArrayList<>();
-    private final HttpTransport calls = (method, path, body, ms, then) -> requests.add(new Request(path, then));
+    private final List<Runnable> scheduled = new ArrayList<>();
+    private final Set<String> knownJobs = new HashSet<>();
+    private final List<String> cancelledJobs = new ArrayList<>();
+    private final HttpTransport calls =
+            (method, path, body, timeoutMs, onResponse) -> requests.add(new Request(path, onResponse));
     private final JobRecordWatch records = new JobRecordWatch(
-            new StateClient(calls, calls, () -> now, 100, 1),
-            () -> now,
-            (r, ms) -> later.add(r),
+            new StateClient(calls, calls, () -> nowS, 100, 1),
+            () -> nowS,
+            (action, delayMs) -> scheduled.add(action),
             new JobRecordWatch.Listener() {
                 @Override
                 public boolean isKnownJob(String id) {
-                    return jobs.contains(id);
+                    return knownJobs.contains(id);
                 }
 
                 @Override
-                public void addJob(Job j, double nowS) {
-                    jobs.add(j.spec.id());
+                public void addJob(Job job, double nowS) {
+                    knownJobs.add(job.spec.id());
                 }
 
                 @Override
-                public void updateJob(String id, Map<String, Object> v, long stamp, double nowS) {
-                    if (v.containsKey("x")) {
+                public void updateJob(String id, Map<String, Object> record, long revision, double nowS) {
+                    if (record.containsKey("x")) {
                         cancelJob(id);
                     }
                 }
@@ -56,18 +60,18 @@
                 public void addOrphanedKey(String key) {}
 
                 @Override
-                public void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> stamps) {}
+                public void restoreReservations(Map<String, List<Reservation>> byJob, Map<String, Long> revisions) {}
 
                 @Override
-                public void restoreImageIndex(Map<String, Object> v) {}
+                public void restoreImageIndex(Map<String, Object> byMachine) {}
 
                 @Override
                 public void onLoaded() {}
 
                 @Override
                 public void cancelJob(String id) {
-                    if (!cancelled.contains(id)) {
-                        cancelled.add(id);
+                    if (!cancelledJobs.contains(id)) {
+                        cancelledJobs.add(id);
                     }
                 }
 
@@ -83,124 +87,128 @@
         return Map.of("k", "j/" + id, "v", Map.of("s", spec, "w", ""), "stamp", 5L);
     }
 
-    /** Answers the oldest request, {@code afterS} after now. */
-    private String answer(double afterS, int status, Map<String, Object> body) {
-        now += afterS;
-        Request r = requests.poll();
-        r.then().accept(new PooledHttpClient.Response(status, body, true));
-        return r.path();
+    /** Responds to the oldest request after {@code afterS} seconds; returns the request's path. */
+    private String respond(double afterS, int status, Map<String, Object> body) {
+        nowS += afterS;
+        Request request = requests.poll();
+        request.onResponse().accept(new PooledHttpClient.Response(status, body, true));
+        return request.path();
     }
 
-    private void again() {
-        List<Runnable> l = new ArrayList<>(later);
-        later.clear();
-        l.forEach(Runnable::run);
+    private void runScheduled() {
+        List<Runnable> actions = new ArrayList<>(scheduled);
+        scheduled.clear();
+        actions.forEach(Runnable::run);
     }
 
-    /** Reads everything, up to the opening of the first watch; a notice comes after so many answers. */
-    private void load(int noticeAfter) {
+    /**
+     * Loads everything, up to the opening of the first watch.
+     *
+     * @param cancellationAfter the number of responses after which a cancellation is received, or -1 for none
+     */
+    private void load(int cancellationAfter) {
         records.start();
-        List<Map<String, Object>> answers = List.of(
+        List<Map<String, Object>> responses = List.of(
                 Map.of("rows", List.of(row("wk-000001")), "epoch", 9L),
                 Map.of("rows", List.of()),
                 Map.of("rows", List.of()),
                 Map.of());
-        for (int i = 0; i < answers.size(); i++) {
-            if (noticeAfter == i) {
+        for (int i = 0; i < responses.size(); i++) {
+            if (cancellationAfter == i) {
                 records.recordCancellation("wk-000001");
             }
             assertEquals(
                     Double.NEGATIVE_INFINITY,
                     records.cancellationsKnownUntilS(),
-                    "nothing is known while records are read");
-            answer(1, i == 3 ? 404 : 200, answers.get(i));
+                    "no cancellation counts as known while records are loaded");
+            respond(1, i == 3 ? 404 : 200, responses.get(i));
         }
-        if (noticeAfter == answers.size()) {
+        if (cancellationAfter == responses.size()) {
             records.recordCancellation("wk-000001");
         }
     }
 
-    @ParameterizedTest(name = "after {0} answers")
+    @ParameterizedTest(name = "after {0} responses")
     @CsvSource({"0", "1", "2", "3", "4"})
-    void aNoticeIsKeptUntilThereIsSomethingToApplyItTo(int answers) {
-        load(answers);
-        assertEquals(List.of("wk-000001"), cancelled);
+    void cancellationReceivedWhileLoadingIsAppliedOnceTheJobIsKnown(int responses) {
+        load(responses);
+        assertEquals(List.of("wk-000001"), cancelledJobs);
     }
 
     @Test
-    void aNoticeOfAJobThatIsNotKnownYetWaitsForItsRecord() {
+    void cancellationOfAnUnknownJobIsAppliedWhenItsRecordIsWatched() {
         load(-1);
         records.recordCancellation("wk-000002");
-        assertEquals(List.of(), cancelled);
-        Map<String, Object> r = row("wk-000002");
-        answer(
+        assertEquals(List.of(), cancelledJobs);
+        Map<String, Object> row = row("wk-000002");
+        respond(
                 1,
                 200,
-                Map.of("epoch", 11L, "news", List.of(Map.of("put", "j/wk-000002", "v", r.get("v"), "stamp", 11L))));
-        assertEquals(List.of("wk-000002"), cancelled);
+                Map.of("epoch", 11L, "news", List.of(Map.of("put", "j/wk-000002", "v", row.get("v"), "stamp", 11L))));
+        assertEquals(List.of("wk-000002"), cancelledJobs);
     }
 
-    /** Nobody will ever know a job that was over before: its notices, repeated by every peer, must not pile up. */
-    @ParameterizedTest(name = "heard {0} s after the watch was opened: kept {1}")
+    /** A job finished before the term never becomes known: its cancellations, listed by all peers, must not pile up. */
+    @ParameterizedTest(name = "received {0} s after the watch was opened: {1} kept")
     @CsvSource({"-1, 0", "1, 1"})
-    void noticesOfJobsThatAreOverAreForgottenOnceAWatchShowsNothingOfThem(double afterS, int kept) {
+    void cancellationsOfFinishedJobsAreDroppedAfterAWatchWithoutThem(double afterS, int kept) {
         load(-1);
         if (afterS > 0) {
-            now += afterS;
+            nowS += afterS;
         } else {
-            now -= 1; // the last answer of the loading and the opening of the watch are one moment
+            nowS -= 1; // the watch is opened at the time of the last response of the loading
         }
         for (int i = 0; i < 50; i++) {
             records.recordCancellation("wk-000077");
         }
         assertEquals(1, records.pendingCancellationCount());
-        answer(3, 200, Map.of("epoch", 20L, "news", List.of()));
+        respond(3, 200, Map.of("epoch", 20L, "news", List.of()));
         assertEquals(kept, records.pendingCancellationCount());
     }
 
-    /** What was read first was asked for at 100 s; the watch is opened at 104 s. */
+    /** The first read is requested at 100 s; the watch is opened at 104 s. */
     @ParameterizedTest(name = "{0}: known until {1} s")
     @CsvSource({
         "loaded, 100",
         "watch answered late, 104",
-        "watch refused, 100",
+        "watch answered with 503, 100",
         "watch unanswered, 100",
-        "410, 100",
-        "410 and read again, 100",
-        "peers, 120",
-        "peers behind, 100"
+        "watch answered with 410, 100",
+        "records read again after 410, 100",
+        "peer responses until 120 s, 120",
+        "peer responses until 90 s, 100"
     })
-    void whatIsKnownIsNeverNewerThanWhatWasAskedFor(String what, double until) {
+    void cancellationsAreKnownNoLaterThanTheAnsweredRequestWasSent(String event, double untilS) {
         load(-1);
         assertTrue(requests.peek().path().startsWith("/watch"));
-        switch (what) {
-            case "watch answered late" -> answer(70, 200, Map.of("epoch", 20L, "news", List.of()));
-            case "watch refused" -> answer(3, 503, Map.of());
-            case "watch unanswered" -> answer(5, 0, Map.of());
-            case "410" -> answer(3, 410, Map.of());
-            case "410 and read again" -> {
-                answer(3, 410, Map.of());
-                answer(3, 503, Map.of());
-                again();
-                answer(3, 200, Map.of("rows", List.of(), "epoch", 30L));
+        switch (event) {
+            case "watch answered late" -> respond(70, 200, Map.of("epoch", 20L, "news", List.of()));
+            case "watch answered with 503" -> respond(3, 503, Map.of());
+            case "watch unanswered" -> respond(5, 0, Map.of());
+            case "watch answered with 410" -> respond(3, 410, Map.of());
+            case "records read again after 410" -> {
+                respond(3, 410, Map.of());
+                respond(3, 503, Map.of());
+                runScheduled();
+                respond(3, 200, Map.of("rows", List.of(), "epoch", 30L));
             }
-            case "peers" -> records.confirmCancellationsUntil(120);
-            case "peers behind" -> records.confirmCancellationsUntil(90);
+            case "peer responses until 120 s" -> records.confirmCancellationsUntil(120);
+            case "peer responses until 90 s" -> records.confirmCancellationsUntil(90);
             default -> {}
         }
-        assertEquals(until, records.cancellationsKnownUntilS());
+        assertEquals(untilS, records.cancellationsKnownUntilS());
     }
 
     @Test
-    void readingIsTriedAgainAndCountsFromTheRequestThatWasAnswered() {
+    void loadingIsRetriedAndCountsFromTheAnsweredRequest() {
         records.start();
-        answer(1, 503, Map.of());
-        now = 130;
-        again();
-        answer(2, 200, Map.of("rows", List.of(), "epoch", 9L));
-        answer(0, 200, Map.of("rows", List.of()));
-        answer(0, 200, Map.of("rows", List.of()));
-        answer(0, 404, Map.of());
+        respond(1, 503, Map.of());
+        nowS = 130;
+        runScheduled();
+        respond(2, 200, Map.of("rows", List.of(), "epoch", 9L));
+        respond(0, 200, Map.of("rows", List.of()));
+        respond(0, 200, Map.of("rows", List.of()));
+        respond(0, 404, Map.of());
         assertEquals(130, records.cancellationsKnownUntilS());
     }
 }
--- a/src/test/java/org/mountlug/node/ReportCounterTest.java
+++ b/src/test/java/org/mountlug/node/ReportCounterTest.java
@@ -5,20 +5,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Reports within the last seconds, whatever gaps lie between. */
+/** Guards against reports that are counted too long or too briefly when no call was made for some seconds. */
 class ReportCounterTest {
-    @ParameterizedTest(name = "asked at {0}: {1}")
+    @ParameterizedTest(name = "at {0} s: {1} reports")
     @CsvSource({"100, 10", "103, 15", "106, 15", "107, 5", "110, 0", "500, 0"})
-    void onlyTheLatestCount(double at, int reports) {
-        ReportCounter c = new ReportCounter(6);
+    void countsOnlyReportsWithinTheWindow(double atS, int reports) {
+        ReportCounter counter = new ReportCounter(6);
         for (int i = 0; i < 10; i++) {
-            c.recordReport(100);
+            counter.recordReport(100);
         }
-        if (at >= 103) {
+        if (atS >= 103) {
             for (int i = 0; i < 5; i++) {
-                c.recordReport(103);
+                counter.recordReport(103);
             }
         }
-        assertEquals(reports, c.recentCount(at));
+        assertEquals(reports, counter.recentCount(atS));
     }
 }
