--- a/src/main/java/org/mountlug/Constants.java
+++ b/src/main/java/org/mountlug/Constants.java
@@ -134,7 +134,10 @@
      */
     public static final double STORED_COUNTS_INTERVAL_S = 2;
 
-    /** Seconds added to that interval between two reads, so that each updated number was written in between. */
+    /**
+     * Seconds added to {@link #STORED_COUNTS_INTERVAL_S} between two reads, so that each updated number was written in
+     * between.
+     */
     public static final double STORED_COUNTS_MARGIN_S = 0.5;
 
     /**
@@ -146,7 +149,7 @@
     public static final double ISOLATION_MIN_TERM_S = 12;
     /** Seconds for which a leader that resigned does not campaign, so that another controller is elected. */
     public static final double RESIGNED_CAMPAIGN_PAUSE_S = 10;
-    /** Factor by which two monotonic clocks may differ, doubled (both drift) and rounded up. */
+    /** Share by which two monotonic clocks may differ: the drift of one, doubled as both drift, and rounded up. */
     public static final double MAX_CLOCK_DRIFT = 0.002;
     /** Seconds added as a safety margin wherever correctness depends on elapsed time. */
     public static final double TIMING_MARGIN_S = 0.5;
@@ -205,7 +208,8 @@
     /** Seconds of past service submissions from which the capacity to keep for further services is estimated. */
     public static final double SERVICE_DEMAND_WINDOW_S = 90;
     /**
-     * Seconds, in addition to a boot, for which that capacity must last: a round, a request and the next list of commands.
+     * Seconds, in addition to a boot, for which the capacity kept for further services must last: a round, a request
+     * and the next list of commands.
      */
     public static final double SERVICE_HEADROOM_S = 15;
     /** Seconds of rental assumed when the cost of a machine for a service is estimated. */
@@ -218,8 +222,8 @@
     /** Share of a zone's machines up to which late reports are attributed to the machines and not to the network. */
     public static final double REPLICA_SILENCE_MAX_SHARE = 0.1;
     /**
-     * Seconds for which a leader must have received reports before it returns machines for such silence; workers find a
-     * new leader in two attempts of 5 s.
+     * Seconds for which a leader must have received reports before it returns silent machines with replicas early;
+     * workers find a new leader in two attempts of 5 s.
      */
     public static final double REPLICA_SILENCE_MIN_TERM_S = 16;
     /**
@@ -245,8 +249,8 @@
      */
     public static final int MAX_IGNORED_STARTS = 2;
     /**
-     * Seconds after which the machine's responses are withheld if a direct start is neither acknowledged nor seen in a
-     * report, so that it can no longer take effect.
+     * Seconds after which responses to the machine are withheld if a direct start is neither acknowledged nor seen in a
+     * report, so that the start can no longer take effect once the worker lease has run out.
      */
     public static final double UNCONFIRMED_START_S = 4;
     /** Milliseconds that a worker may take to carry out commands that were sent directly to it. */
@@ -349,7 +353,7 @@
     public static final int CLOUD_CONNECTIONS = 3;
     /** Milliseconds that a call to the cloud may take. */
     public static final int CLOUD_TIMEOUT_MS = 4000;
-    /** Seconds before the machine types are requested again after a read of them failed. */
+    /** Seconds before the machine types are read again after a failed read. */
     public static final double CATALOGUE_RETRY_S = 3;
 
     /** Milliseconds before rentals that wait for the cloud's rate limit are tried again. */
@@ -370,7 +374,7 @@
 
     /** Multiple of the expected boot time after which a machine is given up as never coming up; up to 1.5 is usual. */
     public static final double BOOT_TIMEOUT_FACTOR = 2.2;
-    /** Seconds added to that timeout, so that types with short boot times are not given up over small delays. */
+    /** Seconds added to the boot timeout, so that types with short boot times are not given up over small delays. */
     public static final double BOOT_TIMEOUT_MARGIN_S = 15.0;
     /**
      * Multiple of its expected boot time after which a rented machine is not counted on any more, though it may still
@@ -504,8 +508,8 @@
         /** Starts that may be in progress at first in a returning zone, as a share of its reporting machines. */
         public static final double RAMP_START_SHARE = 0.2;
         /**
-         * Growth of that limit in a second without failures, as a share of the reporting machines; the limit reaches
-         * all of them in eight seconds.
+         * Growth of the limit on starts in a second without failures, as a share of the reporting machines; the limit
+         * reaches all of them in eight seconds.
          */
         public static final double RAMP_GROW_SHARE = 0.1;
         /** Share of a returning zone's machines that may fetch images at the same time. */
@@ -519,7 +523,8 @@
         /** Share of a lost zone's machines that is replaced at once for work that is not urgent. */
         public static final double IMMEDIATE_SUBSTITUTE_SHARE = 0.25;
         /**
-         * Seconds in which all of the machines would be replaced; as long as a boot, after which waiting saves nothing.
+         * Seconds in which all machines of a lost zone would be replaced; as long as a boot, after which waiting saves
+         * nothing.
          */
         public static final double FULL_SUBSTITUTION_S = 30;
         /** Idle substitute machines that may be returned in a round, as a share of the starts that the ramp admits. */
@@ -546,8 +551,8 @@
         /** Milliseconds for which a turn lasts: rounding to a second, three attempts to connect, a lost response. */
         public static final long TURN_DURATION_MS = 6000;
         /**
-         * Milliseconds for which a schedule is kept in addition to that; clocks differ, and the table is published once
-         * a second.
+         * Milliseconds for which a schedule is kept in addition to {@link #TURN_DURATION_MS}; clocks differ, and the
+         * table is published once a second.
          */
         public static final long SCHEDULE_RETENTION_MS = 2000;
         /** Milliseconds between two plans; while a queue is limited, the table is at most that old. */
@@ -563,15 +568,15 @@
          */
         public static final double STALE_VIEW_S = 15;
         /**
-         * Lowest value in seconds that operators may set for that time: a watch without changes, and the transfer of
-         * its response.
+         * Lowest {@link #STALE_VIEW_S} that operators may set: a watch without changes, and the transfer of its
+         * response.
          */
         public static final double MIN_STALE_VIEW_S = 12;
-        /** Highest value in seconds that operators may set for that time; users give up after as long. */
+        /** Highest {@link #STALE_VIEW_S} that operators may set; users give up after as long. */
         public static final double MAX_STALE_VIEW_S = 60;
         /** Share of the time until a view is stale after which a controller reads the table without the watch. */
         public static final double REREAD_AFTER_SHARE = 0.8;
-        /** Seconds between two such reads. */
+        /** Seconds between two reads of the table without the watch. */
         public static final double REREAD_INTERVAL_S = 1;
         /** Milliseconds between two openings of the watch; a table is published once a second. */
         public static final int WATCH_PAUSE_MS = 200;
@@ -598,7 +603,7 @@
          * rate limit.
          */
         public static final double RATE_GROWTH_SHARE = 0.004;
-        /** Multiple of the sustainable rate that the leader must leave for that growth. */
+        /** Multiple of the sustainable rate that the leader must leave for the sustainable rate to grow. */
         public static final double RATE_GROWTH_HEADROOM_FACTOR = 2;
         /** Multiple of its lowest value that the sustainable rate grows to at most. */
         public static final double MAX_RATE_GROWTH_FACTOR = 1.5;
