--- a/src/main/java/org/mountlug/Constants.java
+++ b/src/main/java/org/mountlug/Constants.java
@@ -59,7 +59,7 @@
     public static final double VALUE_FILL_SHARE = 0.85;
     /** Connections to the state service, for a leader's writes and reads and a burst of submissions in parallel. */
     public static final int STATE_CONNECTIONS = 8;
-    /** Connections for watches: one each for the leader key, the reservations and the live jobs, and one spare. */
+    /** Connections for watches: one each for the leader key, the reservations, the live jobs and the admission table. */
     public static final int WATCH_CONNECTIONS = 4;
     /** Milliseconds between two flushes: long enough to batch writes, short enough that users see "done" within 3 s. */
     public static final int FLUSH_INTERVAL_MS = 250;
