--- a/src/test/java/org/mountlug/node/package-info.java
+++ b/src/test/java/org/mountlug/node/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of several controllers against a state service, a cloud and workers in memory. */
+/** Tests of one or several controllers against in-memory fakes of the state service, the cloud and the workers. */
 package org.mountlug.node;
