--- a/src/test/java/org/mountlug/node/BestEffortTeamsTest.java
+++ b/src/test/java/org/mountlug/node/BestEffortTeamsTest.java
@@ -11,89 +11,103 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.mountlug.core.model.Team;
 
-/** A team without a guarantee brings idle work in one huge array or a swarm of small jobs, beside teams with guarantees. */
+/**
+ * A team without a guarantee submits best-effort work, as one large array or as many one-task jobs, beside a team with a
+ * guarantee.
+ */
 class BestEffortTeamsTest {
-    /** Seconds within which work inside its team's guarantee should run: the aim's 10, and a start's way. */
-    private static final double GUARANTEE_S = 14;
+    /** Seconds within which work inside its team's guarantee must run: the 10 s of the objective, and 4 s to start. */
+    private static final double GUARANTEED_START_S = 14;
 
     private static String id(int number) {
         return String.format("wk-%06d", number);
     }
 
-    private static SimulatedCluster world() {
-        SimulatedCluster world =
+    private static SimulatedCluster newCluster() {
+        SimulatedCluster cluster =
                 new SimulatedCluster(3, List.of(new Team("t", 24, 40, 0, 0, 1), new Team("guest", 0, 0, 0, 0, 1)), 10);
-        world.cloud.capacity = 10;
-        return world;
+        cluster.cloud.capacity = 10;
+        return cluster;
     }
 
-    /** What is inside the guarantee does not wait for the guest's tasks to end. */
-    @ParameterizedTest(name = "guest's work: {0}, new leader {1}")
-    @CsvSource({"one array, false", "swarm, false", "one array, true", "swarm, true"})
-    void aGuaranteeIsKeptBesideAGuest(String kind, boolean newLeader) {
-        SimulatedCluster world = world();
-        world.taskDurationS = 150;
-        fill(world, kind);
+    /** Work inside a team's guarantee does not wait for best-effort tasks to end. */
+    @ParameterizedTest(name = "best-effort work: {0}, new leader {1}")
+    @CsvSource({"one array, false", "one-task jobs, false", "one array, true", "one-task jobs, true"})
+    void aGuaranteeIsKeptBesideBestEffortWork(String workload, boolean newLeader) {
+        SimulatedCluster cluster = newCluster();
+        cluster.taskDurationS = 150;
+        submitBestEffortWork(cluster, workload);
         assertTrue(
-                world.runUntil(120, () -> world.usedCpus("guest") >= 38),
-                "the guest has it all: " + world.usedCpus("guest"));
-        world.runFor(5);
+                cluster.runUntil(120, () -> cluster.usedCpus("guest") >= 38),
+                "best-effort tasks use nearly all CPUs: " + cluster.usedCpus("guest"));
+        cluster.runFor(5);
         if (newLeader) {
-            world.leader().restartAfter(0.3);
-            world.runFor(6);
+            cluster.leader().restartAfter(0.3);
+            cluster.runFor(6);
         }
-        world.submitUntilAccepted(id(900), 20, false, Map.of("crew", "t", "urgency", "standard", "bookmarkS", 0.0));
-        double since = world.nowS;
-        assertTrue(world.runUntil(60, () -> world.usedCpus("t") >= 20), "runs " + world.usedCpus("t"));
-        assertTrue(world.nowS - since <= GUARANTEE_S, "after " + (world.nowS - since) + " s");
-        assertEquals(List.of(), world.violations());
+        cluster.submitUntilAccepted(id(900), 20, false, Map.of("crew", "t", "urgency", "standard", "bookmarkS", 0.0));
+        double submittedAtS = cluster.nowS;
+        assertTrue(
+                cluster.runUntil(60, () -> cluster.usedCpus("t") >= 20),
+                "CPUs in use within the guarantee: " + cluster.usedCpus("t"));
+        assertTrue(
+                cluster.nowS - submittedAtS <= GUARANTEED_START_S,
+                "guaranteed work runs after " + (cluster.nowS - submittedAtS) + " s");
+        assertEquals(List.of(), cluster.violations());
     }
 
-    /** While guaranteed work keeps coming, the guest is served at least half, and its largest job begins in four minutes. */
-    @ParameterizedTest(name = "guest's work: {0}")
-    @CsvSource({"one array", "swarm"})
-    void theGuestIsServedBesideAStreamOfGuaranteedWork(String kind) {
-        SimulatedCluster world = world();
-        world.taskDurationS = 10;
-        // Two thirds of the room, all the time.
+    /**
+     * While guaranteed work keeps arriving, at least half of the best-effort jobs start within eight minutes, and the largest
+     * within four.
+     */
+    @ParameterizedTest(name = "best-effort work: {0}")
+    @CsvSource({"one array", "one-task jobs"})
+    void bestEffortWorkRunsBesideGuaranteedWork(String workload) {
+        SimulatedCluster cluster = newCluster();
+        cluster.taskDurationS = 10;
+        // 24 tasks of 10 s every 10 s: they need 24 of the 40 CPUs all the time.
         for (int i = 0; i < 60; i++) {
             int number = 500 + i;
-            world.schedule(
-                    5 + i * 10, () -> world.controllers.get(1).submitAsync(id(number), 24, false, Map.of("crew", "t")));
+            cluster.schedule(
+                    5 + i * 10,
+                    () -> cluster.controllers.get(1).submitAsync(id(number), 24, false, Map.of("crew", "t")));
         }
-        world.runFor(30);
-        double from = world.nowS;
-        Map<String, Double> begun = new HashMap<>();
-        fill(world, kind);
-        List<String> guests = new ArrayList<>();
-        for (String job : world.acceptedJobs()) {
+        cluster.runFor(30);
+        double startS = cluster.nowS;
+        Map<String, Double> startDelaysS = new HashMap<>();
+        submitBestEffortWork(cluster, workload);
+        List<String> bestEffortJobs = new ArrayList<>();
+        for (String job : cluster.acceptedJobs()) {
             if (Integer.parseInt(job.substring(3)) < 500) {
-                guests.add(job);
+                bestEffortJobs.add(job);
             }
         }
-        while (world.nowS < from + 480) {
-            world.runFor(5);
-            for (String job : guests) {
-                if (world.startsByJob.containsKey(job)) {
-                    begun.putIfAbsent(job, world.nowS - from);
+        while (cluster.nowS < startS + 480) {
+            cluster.runFor(5);
+            for (String job : bestEffortJobs) {
+                if (cluster.startsByJob.containsKey(job)) {
+                    startDelaysS.putIfAbsent(job, cluster.nowS - startS);
                 }
             }
         }
-        assertTrue(begun.size() * 2 >= guests.size(), begun.size() + " begun of " + guests.size());
         assertTrue(
-                begun.getOrDefault(guests.get(0), 1e9) <= 240, "the largest began after " + begun.get(guests.get(0)));
-        world.runUntilSettled(600);
-        assertEquals(List.of(), world.violations());
+                startDelaysS.size() * 2 >= bestEffortJobs.size(),
+                startDelaysS.size() + " started of " + bestEffortJobs.size());
+        assertTrue(
+                startDelaysS.getOrDefault(bestEffortJobs.get(0), 1e9) <= 240,
+                "the largest started after " + startDelaysS.get(bestEffortJobs.get(0)));
+        cluster.runUntilSettled(600);
+        assertEquals(List.of(), cluster.violations());
     }
 
-    private static void fill(SimulatedCluster world, String kind) {
+    private static void submitBestEffortWork(SimulatedCluster cluster, String workload) {
         Map<String, Object> idle = Map.of("crew", "guest", "urgency", "idle", "dueS", 30.0);
-        if (kind.equals("one array")) {
-            world.submitUntilAccepted(id(1), 400, false, idle);
+        if (workload.equals("one array")) {
+            cluster.submitUntilAccepted(id(1), 400, false, idle);
             return;
         }
         for (int i = 1; i <= 120; i++) {
-            world.submitUntilAccepted(id(i), 1, false, idle);
+            cluster.submitUntilAccepted(id(i), 1, false, idle);
         }
     }
 }
--- a/src/test/java/org/mountlug/node/ServicesTest.java
+++ b/src/test/java/org/mountlug/node/ServicesTest.java
@@ -13,145 +13,161 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.mountlug.core.model.ExitCause;
 
-/** Services: they come back after every kind of loss, run until called off, and are gone soon after. */
+/** Services: their replicas are restarted after every kind of loss, run until the service is cancelled, and stop soon after. */
 class ServicesTest {
-    private static final String S = "wk-000001";
-    private static final Map<String, Object> SERVICE =
+    private static final String SERVICE_ID = "wk-000001";
+    private static final Map<String, Object> SERVICE_FIELDS =
             Map.of("shape", "daemon", "urgency", "prod", "expectedS", 0.0, "loaners", false);
 
-    private static Set<String> running(SimulatedCluster w) {
+    private static Set<String> runningReplicas(SimulatedCluster cluster) {
         Set<String> tasks = new HashSet<>();
-        for (SimulatedCluster.Worker x : w.workers.values()) {
-            if (x.terminated) {
+        for (SimulatedCluster.Worker worker : cluster.workers.values()) {
+            if (worker.terminated) {
                 continue;
             }
-            for (SimulatedCluster.Task t : x.tasks.values()) {
-                if (t.jobId.equals(S) && t.state == org.mountlug.core.model.AttemptState.RUNNING) {
-                    tasks.add(t.jobId + "/" + t.index);
+            for (SimulatedCluster.Task task : worker.tasks.values()) {
+                if (task.jobId.equals(SERVICE_ID) && task.state == org.mountlug.core.model.AttemptState.RUNNING) {
+                    tasks.add(task.jobId + "/" + task.index);
                 }
             }
         }
         return tasks;
     }
 
-    private static SimulatedCluster serving(int replicas) {
-        SimulatedCluster w = new SimulatedCluster(3);
-        w.submitUntilAccepted(S, replicas, false, SERVICE);
-        assertTrue(w.runUntil(40, () -> running(w).size() == replicas));
-        return w;
+    private static SimulatedCluster startService(int replicas) {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.submitUntilAccepted(SERVICE_ID, replicas, false, SERVICE_FIELDS);
+        assertTrue(cluster.runUntil(40, () -> runningReplicas(cluster).size() == replicas));
+        return cluster;
     }
 
-    private static SimulatedCluster.Worker holder(SimulatedCluster w) {
-        return w.workers.values().stream()
-                .filter(x -> x.tasks.values().stream().anyMatch(t -> t.jobId.equals(S)))
+    private static SimulatedCluster.Worker workerWithReplica(SimulatedCluster cluster) {
+        return cluster.workers.values().stream()
+                .filter(worker -> worker.tasks.values().stream().anyMatch(task -> task.jobId.equals(SERVICE_ID)))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Whatever a replica ends with, and whatever is lost under it, it runs again, once. */
+    /** However a replica exits, and whichever machine, controller or state service fails, it runs again, and only once. */
     @ParameterizedTest(name = "{0}, within {1} s")
     @CsvSource({
         "done, 20",
         "stopped, 20",
         "error, 20",
-        "machine dies, 40",
-        "machine cut, 40",
-        "machine sick, 90",
-        "leader ends, 30",
-        "all end, 40",
-        "all end for longer than a lease, 60",
+        "machine is lost, 40",
+        "machine cut off, 40",
+        "machine faulty, 90",
+        "leader is restarted, 30",
+        "all controllers restart, 40",
+        "all controllers down for longer than a lease, 60",
         "outage, 60"
     })
-    void replicasReturn(String loss, double within) {
-        SimulatedCluster w = serving(6);
-        SimulatedCluster.Worker first = holder(w);
-        switch (loss) {
+    void replicasAreRestarted(String fault, double timeoutS) {
+        SimulatedCluster cluster = startService(6);
+        SimulatedCluster.Worker affected = workerWithReplica(cluster);
+        switch (fault) {
             case "done", "stopped", "error" -> {
-                w.replicaExitCause = ExitCause.valueOf(loss.toUpperCase());
-                assertTrue(w.runUntil(30, () -> running(w).size() < 6));
-                w.replicaExitCause = null;
+                cluster.replicaExitCause = ExitCause.valueOf(fault.toUpperCase());
+                assertTrue(cluster.runUntil(30, () -> runningReplicas(cluster).size() < 6));
+                cluster.replicaExitCause = null;
             }
-            case "machine dies" -> first.crash();
-            case "machine cut" -> first.disconnected = true;
-            case "machine sick" -> first.failsAllTasks = true;
-            case "leader ends" -> w.leader().restartAfter(6);
-            case "all end" -> w.controllers.forEach(n -> n.restartAfter(1));
-            case "all end for longer than a lease" -> w.controllers.forEach(n -> n.restartAfter(14));
+            case "machine is lost" -> affected.crash();
+            case "machine cut off" -> affected.disconnected = true;
+            case "machine faulty" -> affected.failsAllTasks = true;
+            case "leader is restarted" -> cluster.leader().restartAfter(6);
+            case "all controllers restart" -> cluster.controllers.forEach(controller -> controller.restartAfter(1));
+            case "all controllers down for longer than a lease" ->
+                cluster.controllers.forEach(controller -> controller.restartAfter(14));
             default -> {
-                w.stateService.outage = true;
-                w.schedule(15, w.stateService::recover);
+                cluster.stateService.outage = true;
+                cluster.schedule(15, cluster.stateService::recover);
             }
         }
-        w.runFor(2);
-        // A machine that cannot be reached may go on for its lease; what it runs is not what counts.
+        cluster.runFor(2);
+        // An unreachable machine may run its replicas until its lease expires; these do not count.
         assertTrue(
-                w.runUntil(
-                        within,
-                        () -> running(w).size() == 6
-                                && (!loss.startsWith("machine") || first.tasks.isEmpty() || first.terminated)),
-                () -> running(w) + " run after " + loss);
-        assertTrue(w.runUntil(8, () -> "running".equals(w.pollStatus(S, 5))));
-        assertEquals(List.of(), w.violations());
+                cluster.runUntil(
+                        timeoutS,
+                        () -> runningReplicas(cluster).size() == 6
+                                && (!fault.startsWith("machine") || affected.tasks.isEmpty() || affected.terminated)),
+                () -> runningReplicas(cluster) + " run after " + fault);
+        assertTrue(cluster.runUntil(8, () -> "running".equals(cluster.pollStatus(SERVICE_ID, 5))));
+        assertEquals(List.of(), cluster.violations());
     }
 
-    /** Its user is told how many replicas run. */
+    /** The status of a service contains the number of running replicas. */
     @Test
-    void theNumberOfRunningReplicasIsTold() {
-        SimulatedCluster w = serving(6);
-        assertTrue(w.runUntil(10, () -> {
-            Map<String, Object> a = w.controllers.get(1).poll(S);
-            return a != null && Integer.valueOf(6).equals(a.get("running")) && "running".equals(a.get("status"));
+    void theStatusIncludesTheNumberOfRunningReplicas() {
+        SimulatedCluster cluster = startService(6);
+        assertTrue(cluster.runUntil(10, () -> {
+            Map<String, Object> response = cluster.controllers.get(1).poll(SERVICE_ID);
+            return response != null
+                    && Integer.valueOf(6).equals(response.get("running"))
+                    && "running".equals(response.get("status"));
         }));
     }
 
-    /** One that ends at once again and again is slowed, and takes nobody else's turn. */
+    /** Replicas that fail at once again and again are restarted more slowly, and delay no other job. */
     @Test
-    void endingAtOnceAgainAndAgainIsSlowed() {
-        SimulatedCluster w = new SimulatedCluster(3);
-        w.failingJobs.add(S);
-        w.submitUntilAccepted(S, 2, false, SERVICE);
-        w.submitUntilAccepted("wk-000002", 8, false);
-        assertTrue(w.runUntil(60, () -> w.pollStatus("wk-000002", 5).equals("done")));
-        w.runFor(60);
-        int starts = w.workers.values().stream().mapToInt(x -> x.startCount).sum();
+    void replicasThatKeepFailingAreRestartedMoreSlowly() {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.failingJobs.add(SERVICE_ID);
+        cluster.submitUntilAccepted(SERVICE_ID, 2, false, SERVICE_FIELDS);
+        cluster.submitUntilAccepted("wk-000002", 8, false);
+        assertTrue(cluster.runUntil(60, () -> cluster.pollStatus("wk-000002", 5).equals("done")));
+        cluster.runFor(60);
+        int starts = cluster.workers.values().stream()
+                .mapToInt(worker -> worker.startCount)
+                .sum();
         assertTrue(starts < 40, starts + " starts");
-        assertTrue(List.of("pending", "running").contains(w.pollStatus(S, 5)));
-        assertEquals(List.of(), w.violations());
+        assertTrue(List.of("pending", "running").contains(cluster.pollStatus(SERVICE_ID, 5)));
+        assertEquals(List.of(), cluster.violations());
     }
 
-    /** Called off in the middle of anything, it is withdrawn, gone in time, and stays so. */
+    /** A service that is cancelled during a fault is withdrawn, its replicas stop by the deadline, and it stays withdrawn. */
     @ParameterizedTest(name = "{0}")
-    @ValueSource(strings = {"quiet", "restart", "machine dies", "machine cut", "leader ends", "all end", "twice"})
-    void aServiceIsCalledOff(String amid) {
-        SimulatedCluster w = serving(6);
-        SimulatedCluster.ControllerProcess asked =
-                w.controllers.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
-        switch (amid) {
-            case "restart" -> {
-                w.replicaExitCause = ExitCause.ERROR;
-                assertTrue(w.runUntil(30, () -> running(w).size() < 6));
+    @ValueSource(
+            strings = {
+                "no fault",
+                "failing replicas",
+                "machine is lost",
+                "machine cut off",
+                "leader is restarted",
+                "all controllers restart",
+                "cancelled twice"
+            })
+    void aServiceIsCancelled(String fault) {
+        SimulatedCluster cluster = startService(6);
+        SimulatedCluster.ControllerProcess follower = cluster.controllers.stream()
+                .filter(controller -> controller != cluster.leader())
+                .findFirst()
+                .orElseThrow();
+        switch (fault) {
+            case "failing replicas" -> {
+                cluster.replicaExitCause = ExitCause.ERROR;
+                assertTrue(cluster.runUntil(30, () -> runningReplicas(cluster).size() < 6));
             }
-            case "machine dies" -> holder(w).crash();
-            case "machine cut" -> holder(w).disconnected = true;
-            case "leader ends" -> w.leader().restartAfter(6);
-            case "all end" -> w.controllers.forEach(n -> n.restartAfter(0.5));
+            case "machine is lost" -> workerWithReplica(cluster).crash();
+            case "machine cut off" -> workerWithReplica(cluster).disconnected = true;
+            case "leader is restarted" -> cluster.leader().restartAfter(6);
+            case "all controllers restart" -> cluster.controllers.forEach(controller -> controller.restartAfter(0.5));
             default -> {}
         }
-        if (amid.equals("all end")) {
-            w.runFor(2);
+        if (fault.equals("all controllers restart")) {
+            cluster.runFor(2);
         }
-        assertTrue(w.runUntil(20, () -> {
-            Map<String, Object> a = asked.cancel(S);
-            return a != null && "withdrawn".equals(a.get("status"));
+        assertTrue(cluster.runUntil(20, () -> {
+            Map<String, Object> response = follower.cancel(SERVICE_ID);
+            return response != null && "withdrawn".equals(response.get("status"));
         }));
-        if (amid.equals("twice")) {
-            w.controllers.forEach(n -> n.cancel(S));
+        if (fault.equals("cancelled twice")) {
+            cluster.controllers.forEach(controller -> controller.cancel(SERVICE_ID));
         }
-        w.runFor(SimulatedCluster.CANCEL_DEADLINE_S);
-        assertEquals(Set.of(), running(w));
-        assertEquals("withdrawn", w.pollStatus(S, 75));
-        w.runFor(30);
-        assertEquals(Set.of(), running(w));
-        assertEquals(List.of(), w.violations());
+        cluster.runFor(SimulatedCluster.CANCEL_DEADLINE_S);
+        assertEquals(Set.of(), runningReplicas(cluster));
+        assertEquals("withdrawn", cluster.pollStatus(SERVICE_ID, 75));
+        cluster.runFor(30);
+        assertEquals(Set.of(), runningReplicas(cluster));
+        assertEquals(List.of(), cluster.violations());
     }
 }
