--- a/src/main/java/org/mountlug/core/admit/AdmissionCapacity.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionCapacity.java
@@ -3,92 +3,109 @@
 import org.mountlug.Constants;
 
 /**
- * How many changes a second submissions may cost, beside what the leader itself needs. Every job that is taken in costs the
- * leader further changes, but later: what it leaves at the moment is no pace that can last. So the lasting pace begins at what
- * the leader can work off at once, grows by additive increase while the leader leaves more, and falls at once when it does not.
+ * Computes how many writes per second to the state service submissions may cause, after what the leader itself needs.
+ * Each admitted job causes further leader writes later, so what the leader leaves unused at the moment is not
+ * sustainable. The sustainable rate therefore starts at the rate of jobs that the state service can take with the
+ * minimum number of writes for each, grows by additive increase while the leader leaves enough capacity, and drops at
+ * once when the leader leaves less than it.
  */
 public final class AdmissionCapacity {
-    private final double changesPerS;
-    private final double leaderMostPerS;
-    private double takenBefore;
-    private double observedS = Double.NaN;
-    private double neededPerS;
+    private final double writesPerS;
+    private final double maxLeaderWritesPerS;
+    private double previousLeaderWrites;
+    private double observedAtS = Double.NaN;
+    private double leaderWritesPerS;
     private double sustainablePerS;
     private double capacityPerS;
-    private double heldUntilS = Double.NEGATIVE_INFINITY;
+    private double capacityHeldUntilS = Double.NEGATIVE_INFINITY;
 
     /**
-     * A budget of which nothing has been used yet.
+     * Creates a capacity for a term in which the leader has written nothing yet.
      *
-     * @param changesPerS changes a second that the state service takes
-     * @param leaderMostPerS changes a second that the leader uses at the most
+     * @param writesPerS writes per second that the state service accepts
+     * @param maxLeaderWritesPerS upper limit of the leader's own writes per second
      */
-    public AdmissionCapacity(double changesPerS, double leaderMostPerS) {
-        this.changesPerS = changesPerS;
-        this.leaderMostPerS = leaderMostPerS;
-        sustainablePerS = leastLastingPerS();
+    public AdmissionCapacity(double writesPerS, double maxLeaderWritesPerS) {
+        this.writesPerS = writesPerS;
+        this.maxLeaderWritesPerS = maxLeaderWritesPerS;
+        sustainablePerS = minSustainablePerS();
         capacityPerS = sustainablePerS;
     }
 
     /**
-     * Takes in how many changes the leader has made since its term began.
+     * Updates the sustainable rate from the leader's writes.
      *
-     * @param limiting whether any queue is limited; without a flood the lasting pace is the least one
+     * @param leaderWrites writes that the leader has made since its term began
+     * @param anyQueueLimited whether any queue is limited; if none is, the sustainable rate is reset to its minimum
+     * @param nowS monotonic seconds
      */
-    public void observeLeaderWrites(double taken, boolean limiting, double nowS) {
-        double elapsedS = Double.isNaN(observedS) ? 1 : Math.max(0.1, nowS - observedS);
+    public void observeLeaderWrites(double leaderWrites, boolean anyQueueLimited, double nowS) {
+        double elapsedS = Double.isNaN(observedAtS) ? 1 : Math.max(0.1, nowS - observedAtS);
         double weight = 1 - Math.exp(-elapsedS / Constants.Admission.LEADER_RATE_TIME_CONSTANT_S);
-        neededPerS += weight * ((taken - takenBefore) / elapsedS - neededPerS);
-        observedS = nowS;
-        takenBefore = taken;
-        if (!limiting || leftPerS() < sustainablePerS) {
-            sustainablePerS = limiting ? Math.max(leastLastingPerS(), leftPerS()) : leastLastingPerS();
-        } else if (leftPerS() > sustainablePerS * Constants.Admission.RATE_GROWTH_HEADROOM_FACTOR) {
-            double grown = sustainablePerS + changesPerS * Constants.Admission.RATE_GROWTH_SHARE * elapsedS;
-            sustainablePerS = Math.min(grown, mostLastingPerS());
+        leaderWritesPerS += weight * ((leaderWrites - previousLeaderWrites) / elapsedS - leaderWritesPerS);
+        observedAtS = nowS;
+        previousLeaderWrites = leaderWrites;
+        if (!anyQueueLimited || availablePerS() < sustainablePerS) {
+            sustainablePerS = anyQueueLimited ? Math.max(minSustainablePerS(), availablePerS()) : minSustainablePerS();
+        } else if (availablePerS() > sustainablePerS * Constants.Admission.RATE_GROWTH_HEADROOM_FACTOR) {
+            double increasedPerS = sustainablePerS + writesPerS * Constants.Admission.RATE_GROWTH_SHARE * elapsedS;
+            sustainablePerS = Math.min(increasedPerS, maxSustainablePerS());
         }
-        holdCapacity(nowS);
+        updateCapacity(nowS);
     }
 
-    /** Goes on with the capacity that an earlier leader published. */
-    public void restore(double publishedPerS, double nowS) {
-        sustainablePerS = Math.max(leastLastingPerS(), Math.min(publishedPerS, mostLastingPerS()));
-        holdCapacity(nowS);
+    /** Resumes with the capacity that an earlier leader published. */
+    public void restore(double publishedCapacityPerS, double nowS) {
+        sustainablePerS = Math.max(minSustainablePerS(), Math.min(publishedCapacityPerS, maxSustainablePerS()));
+        updateCapacity(nowS);
     }
 
-    /** Turns that were told at the pace of a moment ago are still to come. */
-    private void holdCapacity(double nowS) {
+    /**
+     * Raises the capacity at once, but lowers it only after the sustainable rate has stayed below it for a schedule
+     * horizon, because turns already announced at the higher rate are still to come.
+     */
+    private void updateCapacity(double nowS) {
         if (sustainablePerS >= capacityPerS) {
-            heldUntilS = nowS + Constants.Admission.SCHEDULE_HORIZON_MS / 1000.0;
+            capacityHeldUntilS = nowS + Constants.Admission.SCHEDULE_HORIZON_MS / 1000.0;
             capacityPerS = sustainablePerS;
-        } else if (nowS >= heldUntilS) {
+        } else if (nowS >= capacityHeldUntilS) {
             capacityPerS = sustainablePerS;
         }
     }
 
-    /** Changes a second that submissions may cost at the moment: at the lasting pace, and at that of the turns to come. */
+    /**
+     * Returns the writes per second that submissions may cause: the sustainable rate, or the higher one at which turns
+     * still to come were scheduled.
+     */
     public double capacityPerS() {
         return capacityPerS;
     }
 
-    /** Changes a second that the leader leaves at the moment, and never less than what it leaves at the most. */
-    private double leftPerS() {
-        double leader = Math.min(leaderMostPerS, neededPerS * Constants.Admission.LEADER_HEADROOM_FACTOR);
+    /**
+     * Returns the writes per second that the leader is expected to leave to submissions; at least the share that is
+     * always reserved for them.
+     */
+    private double availablePerS() {
+        double expectedLeaderWritesPerS =
+                Math.min(maxLeaderWritesPerS, leaderWritesPerS * Constants.Admission.LEADER_HEADROOM_FACTOR);
         return Math.max(
-                changesPerS * Constants.Admission.MIN_SUBMISSION_SHARE,
-                changesPerS * Constants.Admission.PLANNED_SHARE - leader);
+                writesPerS * Constants.Admission.MIN_SUBMISSION_SHARE,
+                writesPerS * Constants.Admission.PLANNED_SHARE - expectedLeaderWritesPerS);
     }
 
-    /** Submissions a second that may be admitted for long; one costs one change. */
+    /**
+     * Returns the submissions per second that can be admitted in the long run; a submission causes one write when it
+     * is admitted.
+     */
     public double sustainablePerS() {
         return sustainablePerS;
     }
 
-    private double mostLastingPerS() {
-        return leastLastingPerS() * Constants.Admission.MAX_RATE_GROWTH_FACTOR;
+    private double maxSustainablePerS() {
+        return minSustainablePerS() * Constants.Admission.MAX_RATE_GROWTH_FACTOR;
     }
 
-    private double leastLastingPerS() {
-        return changesPerS * Constants.Admission.PLANNED_SHARE / (1 + Constants.Admission.MIN_WRITES_PER_JOB);
+    private double minSustainablePerS() {
+        return writesPerS * Constants.Admission.PLANNED_SHARE / (1 + Constants.Admission.MIN_WRITES_PER_JOB);
     }
 }
--- a/src/main/java/org/mountlug/core/admit/AdmissionDecision.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionDecision.java
@@ -1,21 +1,26 @@
 package org.mountlug.core.admit;
 
-/** What becomes of a submission that can run. */
+/** The decision on a valid submission. */
 public sealed interface AdmissionDecision {
-    /** Its record may be written now. */
+    /** The job's record may be written now. */
     record Admit() implements AdmissionDecision {}
 
     /**
-     * It is to come back after so many whole seconds.
+     * The submission has to be repeated later.
      *
-     * @param turnMs epoch milliseconds of its turn as scheduled so far
-     * @param turnIsFinal whether that turn can no longer move, so that it is admitted when it comes back
+     * @param retryAfterS whole seconds after which the user should repeat the submission
+     * @param turnMs epoch milliseconds of the submission's turn by the current schedule
+     * @param turnIsFinal whether that turn can no longer move, so that the submission is admitted when it is repeated
      */
     record Defer(int retryAfterS, long turnMs, boolean turnIsFinal) implements AdmissionDecision {}
 
-    /** This controller's request budget is spent; it is to come back soon. */
+    /** This controller's rate limit is exceeded; the submission should be repeated soon. */
     record RateLimited() implements AdmissionDecision {}
 
-    /** Nothing can be said of it at the moment; it is to come back after so many whole seconds. */
+    /**
+     * The submission cannot be decided at the moment.
+     *
+     * @param retryAfterS whole seconds after which the user should repeat the submission
+     */
     record RetryLater(int retryAfterS) implements AdmissionDecision {}
 }
--- a/src/main/java/org/mountlug/core/admit/AdmissionTable.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionTable.java
@@ -4,29 +4,29 @@
 import org.mountlug.Constants;
 
 /**
- * What the leader has published of admission: which queues are limited, by which schedules, and what all submissions together
- * may cost. Queues without a schedule are open.
+ * The admission table that the leader publishes: which queues are limited, by which schedules, and how many writes all
+ * submissions together may cause. Queues without a schedule are not limited.
  *
- * @param issuedMs epoch milliseconds at which it was published; 0 if none ever was
- * @param capacityPerS changes a second that submissions at all controllers together may cost
+ * @param issuedMs epoch milliseconds at which the table was published; 0 if none ever was
+ * @param capacityPerS writes per second that submissions at all controllers together may cause
  */
 public record AdmissionTable(long issuedMs, double capacityPerS, Map<QueueId, CursorSchedule> schedules) {
-    /** Copies the schedules. */
+    /** Copies the schedules, so that the table is immutable. */
     public AdmissionTable {
         schedules = Map.copyOf(schedules);
     }
 
-    /** The table in force where none was published: every queue is open. */
+    /** Returns the table that applies before one has been published: no queue is limited. */
     public static AdmissionTable empty() {
         return new AdmissionTable(0, 0, Map.of());
     }
 
-    /** Whether any queue is limited at this time. */
+    /** Whether any queue is limited at this time; an expired table limits none. */
     public boolean limitsAnyQueue(long nowMs) {
         return !schedules.isEmpty() && nowMs - issuedMs <= Constants.Admission.TABLE_TTL_MS;
     }
 
-    /** The schedule of a queue at this time, or null if the queue is open. */
+    /** Returns the schedule of a queue at this time, or null if the queue is not limited. */
     public CursorSchedule schedule(QueueId queue, long nowMs) {
         return limitsAnyQueue(nowMs) ? schedules.get(queue) : null;
     }
--- a/src/main/java/org/mountlug/core/admit/ArrivalRate.java
+++ b/src/main/java/org/mountlug/core/admit/ArrivalRate.java
@@ -3,35 +3,38 @@
 import org.mountlug.Constants;
 
 /**
- * How many new submissions come to a limited queue a second, measured by how many its cursor meets. How often controllers are
- * asked tells less: users come again as often as they like.
+ * Estimates how many new submissions a second a limited queue receives, from how many its cursor passes. The rate of
+ * all submissions says less, as users repeat them as often as they like.
  */
 final class ArrivalRate {
-    private final double guessPerS;
-    private double met;
-    private double exposureS;
+    private final double priorPerS;
+    private double decayedArrivals;
+    private double decayedExposureS;
 
-    /** @param guessPerS submissions a second as far as they are known before any was met */
-    ArrivalRate(double guessPerS) {
-        this.guessPerS = Math.max(Constants.Admission.IDLE_RATE_PER_S, guessPerS);
+    /** @param priorPerS estimated submissions per second before any were counted */
+    ArrivalRate(double priorPerS) {
+        this.priorPerS = Math.max(Constants.Admission.IDLE_RATE_PER_S, priorPerS);
     }
 
     /**
-     * Takes in what the cursor met.
+     * Records the submissions that the cursor passed in an interval.
      *
-     * @param submissions how many it met
-     * @param exposedS the part of a lap that it passed, times the seconds' worth of arrivals that are on the ring
-     * @param elapsedS seconds that it took
+     * @param arrivals how many submissions the cursor passed
+     * @param exposureS laps that the cursor moved, times the seconds' worth of new submissions outstanding on the ring
+     * @param elapsedS length of the interval in seconds
      */
-    void observe(double submissions, double exposedS, double elapsedS) {
-        double kept = Math.exp(-elapsedS / Constants.Admission.ARRIVAL_TIME_CONSTANT_S);
-        met = met * kept + submissions;
-        exposureS = exposureS * kept + exposedS;
+    void observe(double arrivals, double exposureS, double elapsedS) {
+        double retainedShare = Math.exp(-elapsedS / Constants.Admission.ARRIVAL_TIME_CONSTANT_S);
+        decayedArrivals = decayedArrivals * retainedShare + arrivals;
+        decayedExposureS = decayedExposureS * retainedShare + exposureS;
     }
 
-    /** New submissions a second; the guess counts as much as a few that were met. */
+    /**
+     * Returns the estimated new submissions per second; the prior estimate has the weight of a few counted
+     * submissions.
+     */
     double perS() {
-        double credit = Constants.Admission.ARRIVAL_PRIOR_WEIGHT;
-        return (met + credit) / (exposureS + credit / guessPerS);
+        double priorWeight = Constants.Admission.ARRIVAL_PRIOR_WEIGHT;
+        return (decayedArrivals + priorWeight) / (decayedExposureS + priorWeight / priorPerS);
     }
 }
--- a/src/main/java/org/mountlug/core/admit/CursorSchedule.java
+++ b/src/main/java/org/mountlug/core/admit/CursorSchedule.java
@@ -5,14 +5,15 @@
 import java.util.stream.LongStream;
 
 /**
- * Where a queue's cursor is on the {@link HashRing} at any time. A submission has its turn when the cursor passes its place.
- * The schedule is a polyline over a fixed time grid; it is only ever extended at its end, so a turn before the end never
- * moves, whoever computes it and however often the schedule was extended since. Immutable.
+ * The position of a queue's cursor on the {@link HashRing} as a function of time. A submission has its turn when the
+ * cursor passes its slot. The schedule is a polyline over a fixed time grid and is only ever extended at its end, so a
+ * turn before the end never moves, whichever controller computes it and however often the schedule has been extended
+ * since. Immutable.
  */
 public final class CursorSchedule {
-    /** Milliseconds between two points of the grid; grid points are whole multiples of it since the epoch. */
+    /** Milliseconds between two grid points; grid points are at whole multiples of it since the epoch. */
     public static final long STEP_MS = 2000;
-    /** The time of a turn that never comes, as the cursor stands still. */
+    /** The time of a turn that never comes because the cursor does not move. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private final long startedMs;
@@ -26,14 +27,14 @@
     }
 
     /**
-     * A cursor that begins to move now.
+     * Creates the schedule of a cursor that begins to move now.
      *
      * @param nowMs epoch milliseconds
-     * @param advances places by which it moves on in each step of the grid; at least one
+     * @param advances slots by which the cursor advances in each step of the grid; at least one element
      */
     public static CursorSchedule starting(long nowMs, long[] advances) {
         if (advances.length == 0) {
-            throw new IllegalArgumentException("a schedule needs a step");
+            throw new IllegalArgumentException("a schedule needs at least one step, but got no advances");
         }
         long[] positions = new long[advances.length + 1];
         for (int i = 0; i < advances.length; i++) {
@@ -42,31 +43,40 @@
         return new CursorSchedule(nowMs, Math.floorDiv(nowMs, STEP_MS), positions);
     }
 
-    /** A schedule as it was stored: when the cursor began to move, the first grid point kept and the position at each. */
+    /**
+     * Creates a schedule from its stored values.
+     *
+     * @param startedMs epoch milliseconds at which the cursor began to move
+     * @param firstStep number of the first grid point kept
+     * @param positions the position at each grid point from the first one on; at least two, never decreasing
+     */
     public static CursorSchedule of(long startedMs, long firstStep, List<Long> positions) {
         long[] values = positions.stream().mapToLong(Long::longValue).toArray();
         for (int i = 1; i < values.length; i++) {
             if (values[i] < values[i - 1]) {
-                throw new IllegalArgumentException("a cursor never moves back");
+                throw new IllegalArgumentException("positions of a schedule must not decrease");
             }
         }
         if (values.length < 2) {
-            throw new IllegalArgumentException("a schedule needs a step");
+            throw new IllegalArgumentException("a schedule needs at least two positions");
         }
         return new CursorSchedule(startedMs, firstStep, values);
     }
 
-    /** Epoch milliseconds at which the cursor began to move. */
+    /** Returns the epoch milliseconds at which the cursor began to move. */
     public long startedMs() {
         return startedMs;
     }
 
-    /** The first grid point that is kept. */
+    /** Returns the number of the first grid point kept: its epoch time divided by {@link #STEP_MS}. */
     public long firstStep() {
         return firstStep;
     }
 
-    /** The position at each grid point, from the first on; the place on the ring is the position modulo a lap. */
+    /**
+     * Returns the position at each grid point from the first one on; the slot on the ring is the position modulo a
+     * lap.
+     */
     public List<Long> positions() {
         return LongStream.of(positions).boxed().toList();
     }
@@ -75,17 +85,17 @@
         return (firstStep + point) * STEP_MS;
     }
 
-    /** Epoch milliseconds of the end, up to which turns are final. */
+    /** Returns the epoch milliseconds of the end, up to which turns are final. */
     public long endMs() {
         return timeMs(positions.length - 1);
     }
 
-    /** Places by which the cursor moves on in a step beyond the end. */
+    /** Returns the slots by which the cursor advances in the last step, and in each step beyond the end. */
     public long lastStepAdvance() {
         return positions[positions.length - 1] - positions[positions.length - 2];
     }
 
-    /** The position at a time; beyond the end the cursor goes on as in the last step. */
+    /** Returns the position at a time; beyond the end the cursor advances at the rate of the last step. */
     public long positionAt(long epochMs) {
         long offsetMs = epochMs - timeMs(0);
         if (offsetMs <= 0) {
@@ -99,61 +109,66 @@
         return positions[positions.length - 1] + lastStepAdvance() * (epochMs - endMs()) / STEP_MS;
     }
 
-    /** Whether the cursor passes this place after the first time and not after the second one. */
+    /** Whether the cursor passes this slot after the first time and not after the second one. */
     public boolean passes(int slot, long afterMs, long untilMs) {
-        return lapsBeyond(slot, untilMs) > lapsBeyond(slot, afterMs);
+        return passesUntil(slot, untilMs) > passesUntil(slot, afterMs);
     }
 
-    private long lapsBeyond(int slot, long epochMs) {
+    private long passesUntil(int slot, long epochMs) {
         return Math.floorDiv(positionAt(epochMs) - slot, (long) HashRing.SLOTS);
     }
 
-    /** The first time after this one at which the cursor has passed the place, or {@link #NEVER}. */
+    /**
+     * Returns the epoch milliseconds of the first time after {@code afterMs} at which the cursor has passed the slot,
+     * or {@link #NEVER}.
+     */
     public long nextTurnMs(int slot, long afterMs) {
-        long target = slot + HashRing.SLOTS * (lapsBeyond(slot, afterMs) + 1);
+        long target = slot + HashRing.SLOTS * (passesUntil(slot, afterMs) + 1);
         for (int point = 0; point < positions.length - 1; point++) {
             if (positions[point + 1] >= target) {
                 return timeMs(point)
-                        + timeToAdvance(target - positions[point], positions[point + 1] - positions[point]);
+                        + timeToAdvanceMs(target - positions[point], positions[point + 1] - positions[point]);
             }
         }
         if (lastStepAdvance() == 0) {
             return NEVER;
         }
-        return endMs() + timeToAdvance(target - positions[positions.length - 1], lastStepAdvance());
+        return endMs() + timeToAdvanceMs(target - positions[positions.length - 1], lastStepAdvance());
     }
 
     private static long ceilDiv(long dividend, long divisor) {
         return -Math.floorDiv(-dividend, divisor);
     }
 
-    private static long timeToAdvance(long distance, long advanceInStep) {
+    private static long timeToAdvanceMs(long distance, long advanceInStep) {
         return ceilDiv(distance * STEP_MS, advanceInStep);
     }
 
     /**
-     * The same schedule with a later end. Steps that lie in the past already keep the pace that the schedule had there.
+     * Returns this schedule with a later end. New steps that lie in the past already advance as the last step did, so
+     * that the current position does not change.
      *
      * @param nowMs epoch milliseconds
-     * @param untilMs the end is not before this time
-     * @param advance places by which the cursor moves on in each new step
-     * @param keepMs for how long before now the schedule is still asked about
+     * @param untilMs the new end is not before this time
+     * @param advance slots by which the cursor advances in each new step
+     * @param retentionMs for how long before now the schedule must still give positions
      */
-    public CursorSchedule extended(long nowMs, long untilMs, long advance, long keepMs) {
-        int added = (int) Math.max(0, ceilDiv(untilMs - endMs(), STEP_MS));
-        long[] longer = Arrays.copyOf(positions, positions.length + added);
-        for (int point = positions.length; point < longer.length; point++) {
-            boolean past = timeMs(point - 1) < nowMs;
-            longer[point] = longer[point - 1] + (past ? lastStepAdvance() : Math.max(0, advance));
+    public CursorSchedule extended(long nowMs, long untilMs, long advance, long retentionMs) {
+        int addedPoints = (int) Math.max(0, ceilDiv(untilMs - endMs(), STEP_MS));
+        long[] extendedPositions = Arrays.copyOf(positions, positions.length + addedPoints);
+        for (int point = positions.length; point < extendedPositions.length; point++) {
+            boolean isInPast = timeMs(point - 1) < nowMs;
+            extendedPositions[point] =
+                    extendedPositions[point - 1] + (isInPast ? lastStepAdvance() : Math.max(0, advance));
         }
-        int dropped =
-                (int) Math.min(longer.length - 2, Math.max(0, Math.floorDiv(nowMs - keepMs, STEP_MS) - firstStep));
-        long wholeLaps = Math.floorDiv(longer[dropped], (long) HashRing.SLOTS) * HashRing.SLOTS;
-        long[] kept = Arrays.copyOfRange(longer, dropped, longer.length);
-        for (int point = 0; point < kept.length; point++) {
-            kept[point] -= wholeLaps;
+        int droppedPoints = (int) Math.min(
+                extendedPositions.length - 2, Math.max(0, Math.floorDiv(nowMs - retentionMs, STEP_MS) - firstStep));
+        long wholeLaps = Math.floorDiv(extendedPositions[droppedPoints], (long) HashRing.SLOTS) * HashRing.SLOTS;
+        long[] keptPositions = Arrays.copyOfRange(extendedPositions, droppedPoints, extendedPositions.length);
+        for (int point = 0; point < keptPositions.length; point++) {
+            keptPositions[point] -= wholeLaps;
         }
-        return new CursorSchedule(startedMs, firstStep + dropped, kept);
+        return new CursorSchedule(startedMs, firstStep + droppedPoints, keptPositions);
     }
 
     @Override
--- a/src/main/java/org/mountlug/core/admit/DemandCounter.java
+++ b/src/main/java/org/mountlug/core/admit/DemandCounter.java
@@ -7,15 +7,18 @@
 import java.util.Map;
 import org.mountlug.Constants;
 
-/** Counts submissions by queue. Of the queues not asked for longest none is kept beyond a bound, as users name classes. */
+/**
+ * Counts submissions by queue. Users choose the names of job classes, so the number of queues is bounded: the one used
+ * least recently is dropped first.
+ */
 final class DemandCounter {
     private static final class Counter {
-        int asked;
-        int met;
-        int refused;
+        int submissions;
+        int arrivals;
+        int throttled;
 
-        QueueDemand of(QueueId queue) {
-            return new QueueDemand(queue, asked, met, refused);
+        QueueDemand toDemand(QueueId queue) {
+            return new QueueDemand(queue, submissions, arrivals, throttled);
         }
     }
 
@@ -33,21 +36,21 @@
     }
 
     void recordSubmission(QueueId queue) {
-        counter(queue).asked++;
+        counter(queue).submissions++;
     }
 
     void recordArrival(QueueId queue) {
-        counter(queue).met++;
+        counter(queue).arrivals++;
     }
 
     void recordThrottled(QueueId queue) {
-        counter(queue).refused++;
+        counter(queue).throttled++;
     }
 
-    /** The counts of all queues, the busiest first. */
+    /** Returns the counts of all queues, the busiest first. */
     List<QueueDemand> counts() {
         List<QueueDemand> counts = new ArrayList<>();
-        counters.forEach((queue, counter) -> counts.add(counter.of(queue)));
+        counters.forEach((queue, counter) -> counts.add(counter.toDemand(queue)));
         counts.sort(Comparator.comparingInt(QueueDemand::submissions).reversed().thenComparing(QueueDemand::queue));
         return counts;
     }
--- a/src/main/java/org/mountlug/core/admit/FairShares.java
+++ b/src/main/java/org/mountlug/core/admit/FairShares.java
@@ -6,38 +6,38 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** Weighted max-min fairness by progressive filling. */
+/** Divides a capacity by weighted max-min fairness, using progressive filling. */
 final class FairShares {
     private FairShares() {}
 
     /**
-     * Divides a capacity: whoever asks for no more than its weight's part gets what it asks for, and what that leaves is
-     * divided again between the others. Nobody's part can grow without another's shrinking that is smaller by weight.
+     * Divides a capacity. A key that demands no more than its weighted share receives its demand, and the rest is
+     * divided again between the other keys. No share can grow without shrinking another one that is smaller by weight.
      *
-     * @param capacity what there is to divide, in any unit
-     * @param demands what each asks for in the same unit; infinite for as much as there is
-     * @param weight the weight of each, above 0
+     * @param capacity the capacity to divide, in any unit
+     * @param demands the demand of each key in the same unit; infinite for as much as there is
+     * @param weight the weight of each key, above 0
      */
     static <K> Map<K, Double> divide(double capacity, Map<K, Double> demands, ToDoubleFunction<K> weight) {
-        Map<K, Double> parts = new HashMap<>();
-        List<K> open = new ArrayList<>(demands.keySet());
-        double left = capacity;
-        while (!open.isEmpty()) {
-            double weights = open.stream().mapToDouble(weight).sum();
-            double perWeight = Math.max(0, left) / weights;
-            List<K> content = open.stream()
-                    .filter(key -> demands.get(key) <= perWeight * weight.applyAsDouble(key))
+        Map<K, Double> shares = new HashMap<>();
+        List<K> unsatisfied = new ArrayList<>(demands.keySet());
+        double remaining = capacity;
+        while (!unsatisfied.isEmpty()) {
+            double totalWeight = unsatisfied.stream().mapToDouble(weight).sum();
+            double sharePerWeight = Math.max(0, remaining) / totalWeight;
+            List<K> satisfied = unsatisfied.stream()
+                    .filter(key -> demands.get(key) <= sharePerWeight * weight.applyAsDouble(key))
                     .toList();
-            if (content.isEmpty()) {
-                open.forEach(key -> parts.put(key, perWeight * weight.applyAsDouble(key)));
-                return parts;
+            if (satisfied.isEmpty()) {
+                unsatisfied.forEach(key -> shares.put(key, sharePerWeight * weight.applyAsDouble(key)));
+                return shares;
             }
-            for (K key : content) {
-                parts.put(key, demands.get(key));
-                left -= demands.get(key);
+            for (K key : satisfied) {
+                shares.put(key, demands.get(key));
+                remaining -= demands.get(key);
             }
-            open.removeAll(content);
+            unsatisfied.removeAll(satisfied);
         }
-        return parts;
+        return shares;
     }
 }
--- a/src/main/java/org/mountlug/core/admit/QueueDemand.java
+++ b/src/main/java/org/mountlug/core/admit/QueueDemand.java
@@ -1,14 +1,19 @@
 package org.mountlug.core.admit;
 
 /**
- * What a controller has counted of a queue since its process began.
+ * A controller's counts for a queue since its process began.
  *
  * @param submissions submissions, repetitions included
- * @param arrivals of these, how many came to an open queue or were met by the cursor, each counted about once
- * @param throttled how many were turned away though their queue was open or their turn had come, as the token buckets were empty
+ * @param arrivals submissions, each counted about once: those to a queue without a limit, and those at their turn in a
+ *     limited queue
+ * @param throttled submissions rejected because the token buckets were empty, though their queue was not limited or
+ *     their turn had come
  */
 public record QueueDemand(QueueId queue, int submissions, int arrivals, int throttled) {
-    /** What was counted since an earlier look, which may be of a process that has ended, or null. */
+    /**
+     * Returns the counts since earlier ones. If those are null, or higher because a process that has ended counted
+     * them, all counts are new.
+     */
     QueueDemand since(QueueDemand earlier) {
         if (earlier == null
                 || submissions < earlier.submissions
--- a/src/main/java/org/mountlug/core/admit/QueueId.java
+++ b/src/main/java/org/mountlug/core/admit/QueueId.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** A queue of submissions: those of one team in one job class. */
+/** Identifies a queue of submissions: those of one team in one job class. */
 public record QueueId(String team, String jobClass) implements Comparable<QueueId> {
     private static final Comparator<QueueId> ORDER =
             Comparator.comparing(QueueId::team).thenComparing(QueueId::jobClass);
--- a/src/main/java/org/mountlug/core/admit/QueueRates.java
+++ b/src/main/java/org/mountlug/core/admit/QueueRates.java
@@ -2,61 +2,66 @@
 
 import org.mountlug.Constants;
 
-/** How often a queue is asked at all controllers together, smoothed over a few seconds. */
+/** The rates of a queue's submissions at all controllers together, smoothed over a few seconds. */
 final class QueueRates {
-    private double asked;
-    private double met;
-    private double refused;
+    private double pendingSubmissions;
+    private double pendingArrivals;
+    private double pendingThrottled;
     private double submissionsPerS;
-    private double askedInIntervalPerS;
-    private boolean refusedBefore;
-    private boolean refusedLately;
-    private double metInInterval;
+    private double intervalSubmissionsPerS;
+    private boolean throttledInPreviousInterval;
+    private boolean throttledInLatestInterval;
+    private double intervalArrivals;
 
-    /** Adds what a controller has counted since it was last heard. */
+    /** Adds what a controller has counted since its last report. */
     void add(QueueDemand counted) {
-        asked += counted.submissions();
-        met += counted.arrivals();
-        refused += counted.throttled();
+        pendingSubmissions += counted.submissions();
+        pendingArrivals += counted.arrivals();
+        pendingThrottled += counted.throttled();
     }
 
     /**
-     * Closes the interval since the last call.
+     * Closes the interval since the last call and updates the rates.
      *
-     * @param factor by how much more was asked than was heard of
+     * @param extrapolationFactor ratio of the submissions at all controllers to those at controllers with recent
+     *     counts
+     * @param elapsedS length of the interval in seconds
      */
-    void closeInterval(double factor, double elapsedS) {
+    void closeInterval(double extrapolationFactor, double elapsedS) {
         double weight = 1 - Math.exp(-elapsedS / Constants.Admission.RATE_TIME_CONSTANT_S);
-        submissionsPerS += weight * (asked * factor / elapsedS - submissionsPerS);
-        askedInIntervalPerS = asked * factor / elapsedS;
-        refusedBefore = refusedLately;
-        refusedLately = refused > 0;
-        metInInterval = met * factor;
-        asked = 0;
-        met = 0;
-        refused = 0;
+        submissionsPerS += weight * (pendingSubmissions * extrapolationFactor / elapsedS - submissionsPerS);
+        intervalSubmissionsPerS = pendingSubmissions * extrapolationFactor / elapsedS;
+        throttledInPreviousInterval = throttledInLatestInterval;
+        throttledInLatestInterval = pendingThrottled > 0;
+        intervalArrivals = pendingArrivals * extrapolationFactor;
+        pendingSubmissions = 0;
+        pendingArrivals = 0;
+        pendingThrottled = 0;
     }
 
     double submissionsPerS() {
         return submissionsPerS;
     }
 
-    /** Submissions a second in the interval closed last, or the smoothed rate if that is higher. */
+    /** Returns the submissions per second in the latest closed interval, or the smoothed rate if that is higher. */
     double latestSubmissionsPerS() {
-        return Math.max(submissionsPerS, askedInIntervalPerS);
+        return Math.max(submissionsPerS, intervalSubmissionsPerS);
     }
 
-    /** Whether submissions were turned away in each of the last two intervals, so that the latest was flooded as a whole. */
+    /**
+     * Whether submissions were throttled in each of the last two intervals, which shows that the flood lasted for the
+     * whole of the latest one.
+     */
     boolean throttledInLastTwoIntervals() {
-        return refusedBefore && refusedLately;
+        return throttledInPreviousInterval && throttledInLatestInterval;
     }
 
-    /** Submissions that were met at their turn in the interval closed last. */
+    /** Returns the arrivals in the latest closed interval. */
     double arrivals() {
-        return metInInterval;
+        return intervalArrivals;
     }
 
-    /** Whether hardly anything has been asked lately. */
+    /** Whether the queue has received almost no submissions recently. */
     boolean isIdle() {
         return submissionsPerS < Constants.Admission.IDLE_RATE_PER_S;
     }
--- a/src/main/java/org/mountlug/core/admit/TeamTokenBuckets.java
+++ b/src/main/java/org/mountlug/core/admit/TeamTokenBuckets.java
@@ -5,20 +5,20 @@
 import org.mountlug.Constants;
 
 /**
- * Token buckets with borrowing on three levels: one a queue, one a team, and one that all share. A team's share of the rate
- * flows evenly into the buckets of its queues; what a full bucket cannot hold flows on to its team's, and from a full team's to
- * the common one. So a queue that is asked within its part always finds a token, and what is left is used by the others. A token
- * pays for one change.
+ * Token buckets with borrowing on three levels: one for each queue, one for each team, and one that all share. A
+ * team's share of the rate flows evenly into the buckets of its queues; what a full bucket cannot hold overflows into
+ * its team's bucket, and from a full team bucket into the shared one. A queue within its share therefore always finds
+ * a token, and unused tokens are available to the other queues. A token pays for one write.
  */
 final class TeamTokenBuckets {
     private static final class Bucket {
         double tokens;
-        double usedS;
+        double lastUsedS;
 
         /** Adds tokens and returns what the bucket cannot hold. */
-        double fill(double added, double burst) {
-            tokens += added;
-            double excess = Math.max(0, tokens - burst);
+        double fill(double newTokens, double maxTokens) {
+            tokens += newTokens;
+            double excess = Math.max(0, tokens - maxTokens);
             tokens -= excess;
             return excess;
         }
@@ -26,8 +26,8 @@
 
     private static final class Team {
         final double weight;
-        final Bucket own = new Bucket();
-        final Map<String, Bucket> classes = new LinkedHashMap<>();
+        final Bucket bucket = new Bucket();
+        final Map<String, Bucket> bucketsByClass = new LinkedHashMap<>();
 
         Team(double weight) {
             this.weight = weight;
@@ -35,103 +35,111 @@
     }
 
     private final Map<String, Team> teams = new LinkedHashMap<>();
-    private final double burstLeast;
+    private final double minBurstTokens;
     private final double burstS;
-    private final Bucket common = new Bucket();
-    private double weights;
-    private double filledS = Double.NaN;
+    private final Bucket sharedBucket = new Bucket();
+    private double totalWeight;
+    private double refilledAtS = Double.NaN;
 
     /**
-     * Full buckets.
+     * Creates full buckets.
      *
-     * @param weights the teams' weights, above 0
-     * @param ratePerS tokens a second by which the first fill is reckoned
+     * @param teamWeights the teams' weights, above 0
+     * @param ratePerS tokens per second by which the initial content is computed
      * @param burstS seconds' worth of its rate that a bucket holds
-     * @param burstLeast tokens that the bucket of a team or queue holds at the least, at least 1
+     * @param minBurstTokens minimum capacity of the bucket of a team or queue; raised to 1 if lower
      */
-    TeamTokenBuckets(Map<String, Double> weights, double ratePerS, double burstS, double burstLeast) {
+    TeamTokenBuckets(Map<String, Double> teamWeights, double ratePerS, double burstS, double minBurstTokens) {
         this.burstS = burstS;
-        this.burstLeast = Math.max(1, burstLeast);
-        weights.forEach((team, weight) -> teams.put(team, new Team(weight)));
-        weights.values().forEach(weight -> this.weights += weight);
-        teams.values().forEach(team -> team.own.tokens = teamBurst(team, ratePerS));
-        common.tokens = burst(ratePerS);
+        this.minBurstTokens = Math.max(1, minBurstTokens);
+        teamWeights.forEach((team, weight) -> teams.put(team, new Team(weight)));
+        teamWeights.values().forEach(weight -> this.totalWeight += weight);
+        teams.values().forEach(team -> team.bucket.tokens = teamBurstTokens(team, ratePerS));
+        sharedBucket.tokens = burstTokens(ratePerS);
     }
 
-    private double teamRate(Team team, double ratePerS) {
-        return ratePerS * team.weight / weights;
+    private double teamRatePerS(Team team, double ratePerS) {
+        return ratePerS * team.weight / totalWeight;
     }
 
-    private double teamBurst(Team team, double ratePerS) {
-        return Math.max(burstLeast, teamRate(team, ratePerS) * burstS);
+    private double teamBurstTokens(Team team, double ratePerS) {
+        return Math.max(minBurstTokens, teamRatePerS(team, ratePerS) * burstS);
     }
 
-    private double burst(double ratePerS) {
+    private double burstTokens(double ratePerS) {
         return Math.max(1, ratePerS * burstS);
     }
 
-    /** Fills the buckets up to a time, at a rate that may differ from call to call. */
+    /** Refills the buckets for the time since the last call, at a rate that may differ from call to call. */
     void refill(double ratePerS, double nowS) {
-        double elapsedS = Double.isNaN(filledS) ? 0 : Math.max(0, nowS - filledS);
-        filledS = nowS;
-        double left = 0;
+        double elapsedS = Double.isNaN(refilledAtS) ? 0 : Math.max(0, nowS - refilledAtS);
+        refilledAtS = nowS;
+        double excess = 0;
         for (Team team : teams.values()) {
-            left += refill(team, ratePerS, elapsedS);
+            excess += refill(team, ratePerS, elapsedS);
         }
-        common.fill(left, burst(ratePerS));
+        sharedBucket.fill(excess, burstTokens(ratePerS));
     }
 
     private double refill(Team team, double ratePerS, double elapsedS) {
-        team.classes.values().removeIf(bucket -> filledS - bucket.usedS > Constants.Admission.CLASS_BUCKET_IDLE_S);
-        double inflow = teamRate(team, ratePerS) * elapsedS;
-        int classes = team.classes.size();
-        if (classes > 0) {
-            double classRatePerS = teamRate(team, ratePerS) / classes;
+        team.bucketsByClass
+                .values()
+                .removeIf(bucket -> refilledAtS - bucket.lastUsedS > Constants.Admission.CLASS_BUCKET_IDLE_S);
+        double inflow = teamRatePerS(team, ratePerS) * elapsedS;
+        int classCount = team.bucketsByClass.size();
+        if (classCount > 0) {
+            double classRatePerS = teamRatePerS(team, ratePerS) / classCount;
             double excess = 0;
-            for (Bucket bucket : team.classes.values()) {
-                excess += bucket.fill(inflow / classes, Math.max(burstLeast, burst(classRatePerS)));
+            for (Bucket bucket : team.bucketsByClass.values()) {
+                excess += bucket.fill(inflow / classCount, Math.max(minBurstTokens, burstTokens(classRatePerS)));
             }
             inflow = excess;
         }
-        return team.own.fill(inflow, teamBurst(team, ratePerS));
+        return team.bucket.fill(inflow, teamBurstTokens(team, ratePerS));
     }
 
     /**
-     * Takes a token of the queue's, or else of its team's, or else a common one; false if there is none.
+     * Takes a token from the queue's bucket, else from its team's, else from the shared one; returns false if all are
+     * empty.
      *
-     * @param overdraft tokens that the queue may owe after that; it gets no others before they are paid
+     * @param overdraft tokens by which the queue's bucket may be in debt afterwards; refills repay the debt first
      */
     boolean tryAcquire(QueueId queue, double overdraft) {
         Team team = teams.get(queue.team());
         if (team == null) {
             return false;
         }
-        Bucket own = bucket(team, queue.jobClass());
-        if (own.tokens >= 1) {
-            own.tokens--;
-        } else if (team.own.tokens >= 1) {
-            team.own.tokens--;
-        } else if (common.tokens >= 1) {
-            common.tokens--;
-        } else if (own.tokens - 1 >= -overdraft) {
-            own.tokens--;
+        Bucket queueBucket = bucketFor(team, queue.jobClass());
+        if (queueBucket.tokens >= 1) {
+            queueBucket.tokens--;
+        } else if (team.bucket.tokens >= 1) {
+            team.bucket.tokens--;
+        } else if (sharedBucket.tokens >= 1) {
+            sharedBucket.tokens--;
+        } else if (queueBucket.tokens - 1 >= -overdraft) {
+            queueBucket.tokens--;
         } else {
             return false;
         }
         return true;
     }
 
-    /** The queue's bucket. A new one is empty, so that a new name for a class buys nothing; beyond a bound they share one. */
-    private Bucket bucket(Team team, String jobClass) {
-        boolean room = team.classes.size() < Constants.Admission.MAX_CLASS_BUCKETS_PER_TEAM;
-        String name = room || team.classes.containsKey(jobClass) ? jobClass : "";
-        Bucket bucket = team.classes.computeIfAbsent(name, unseen -> new Bucket());
-        bucket.usedS = filledS;
+    /**
+     * Returns the queue's bucket. A new bucket is empty, so that a new class name gains no tokens; beyond a maximum
+     * number the classes of a team share one bucket.
+     */
+    private Bucket bucketFor(Team team, String jobClass) {
+        boolean hasRoomForClass = team.bucketsByClass.size() < Constants.Admission.MAX_CLASS_BUCKETS_PER_TEAM;
+        String name = hasRoomForClass || team.bucketsByClass.containsKey(jobClass) ? jobClass : "";
+        Bucket bucket = team.bucketsByClass.computeIfAbsent(name, unseen -> new Bucket());
+        bucket.lastUsedS = refilledAtS;
         return bucket;
     }
 
-    /** Pays for a change that waits for no token; submissions wait until the debt is paid, which is bounded. */
+    /**
+     * Charges a write that does not wait for a token. Submissions wait until the debt is repaid; the debt is bounded.
+     */
     void charge(double ratePerS) {
-        common.tokens = Math.max(-burst(ratePerS), common.tokens - 1);
+        sharedBucket.tokens = Math.max(-burstTokens(ratePerS), sharedBucket.tokens - 1);
     }
 }
