--- a/src/main/java/org/mountlug/store/AdmissionCodec.java
+++ b/src/main/java/org/mountlug/store/AdmissionCodec.java
@@ -13,8 +13,9 @@
 import org.mountlug.wire.Fields;
 
 /**
- * The published admission table, in as many records as its queues need under the value limit. All records of a table carry
- * the time at which it was issued; one with an earlier time is left over from a table that needed more of them.
+ * Encodes the published admission table in as many records as its queues need under the value limit. All records of a
+ * table carry the time at which it was published. A record with an earlier time remains from a previous table that
+ * needed more records, and is ignored.
  */
 public final class AdmissionCodec {
     private static final String ISSUED_MS = "t";
@@ -25,45 +26,51 @@
     private static final String STARTED_MS = "b";
     private static final String FIRST_STEP = "s";
     private static final String POSITIONS = "p";
-    /** Characters of a record beside its queues. */
-    private static final int FIXED_CHARS = 80;
-    /** Characters of a queue beside its names and positions, and of a position: up to a lap in a step. */
-    private static final int QUEUE_CHARS = 70;
+    /** Characters of a record in addition to its queues. */
+    private static final int RECORD_OVERHEAD_CHARS = 80;
+    /** Characters of a queue in addition to its names and positions. */
+    private static final int QUEUE_OVERHEAD_CHARS = 70;
 
+    /** Characters of a position, for a difference of up to a lap. */
     private static final int POSITION_CHARS = 8;
 
     private AdmissionCodec() {}
 
-    /** The records of a table, each within so many characters; at least one, so that an empty table can be told. */
-    public static List<Map<String, Object>> write(AdmissionTable table, int mostChars) {
+    /**
+     * Returns the records of a table, each of at most {@code maxChars} characters unless a single queue needs more. An
+     * empty table has one record, so that it replaces an earlier table.
+     */
+    public static List<Map<String, Object>> write(AdmissionTable table, int maxChars) {
         List<Map<String, Object>> records = new ArrayList<>();
         List<Object> queues = new ArrayList<>();
-        int chars = FIXED_CHARS;
+        int recordChars = RECORD_OVERHEAD_CHARS;
         for (Map.Entry<QueueId, CursorSchedule> entry : new TreeMap<>(table.schedules()).entrySet()) {
-            int more = chars(entry.getKey(), entry.getValue());
-            if (chars + more > mostChars && !queues.isEmpty()) {
-                records.add(record(table, queues));
+            int queueChars = queueChars(entry.getKey(), entry.getValue());
+            if (recordChars + queueChars > maxChars && !queues.isEmpty()) {
+                records.add(writeRecord(table, queues));
                 queues = new ArrayList<>();
-                chars = FIXED_CHARS;
+                recordChars = RECORD_OVERHEAD_CHARS;
             }
-            queues.add(queue(entry.getKey(), entry.getValue()));
-            chars += more;
+            queues.add(writeQueue(entry.getKey(), entry.getValue()));
+            recordChars += queueChars;
         }
-        records.add(record(table, queues));
+        records.add(writeRecord(table, queues));
         return records;
     }
 
-    private static int chars(QueueId queue, CursorSchedule schedule) {
-        int names = queue.team().length() + queue.jobClass().length();
-        return QUEUE_CHARS + names + POSITION_CHARS * schedule.positions().size();
+    private static int queueChars(QueueId queue, CursorSchedule schedule) {
+        int nameChars = queue.team().length() + queue.jobClass().length();
+        return QUEUE_OVERHEAD_CHARS
+                + nameChars
+                + POSITION_CHARS * schedule.positions().size();
     }
 
-    private static Map<String, Object> record(AdmissionTable table, List<Object> queues) {
+    private static Map<String, Object> writeRecord(AdmissionTable table, List<Object> queues) {
         return Fields.orderedMap(ISSUED_MS, table.issuedMs(), CAPACITY, table.capacityPerS(), QUEUES, queues);
     }
 
-    /** Positions are written as the first one and then as differences, which are shorter. */
-    private static Map<String, Object> queue(QueueId queue, CursorSchedule schedule) {
+    /** Writes positions as the first one followed by differences, which are shorter. */
+    private static Map<String, Object> writeQueue(QueueId queue, CursorSchedule schedule) {
         List<Object> differences = new ArrayList<>();
         long previous = 0;
         for (long position : schedule.positions()) {
@@ -79,7 +86,7 @@
         return entry;
     }
 
-    /** The table that is told by the latest of these records; queues that nobody can read are left out. */
+    /** Returns the table whose records have the latest time; a queue with an unreadable schedule is left out. */
     public static AdmissionTable read(Collection<Map<String, Object>> records) {
         long issuedMs = records.stream()
                 .mapToLong(record -> Fields.getLong(record, ISSUED_MS, 0))
--- a/src/main/java/org/mountlug/store/ImageIndexCodec.java
+++ b/src/main/java/org/mountlug/store/ImageIndexCodec.java
@@ -7,54 +7,55 @@
 import java.util.Map;
 import org.mountlug.core.cluster.Machine;
 
-/** Notes of which machine has which image, by machine, each within the value limit. */
+/** Encodes the image index, which lists the images of each machine, as shards within the value limit. */
 public final class ImageIndexCodec {
-    /** Images told of one machine, the latest. */
-    private static final int MOST_A_MACHINE = 8;
+    /** Images listed for one machine; the latest ones are kept. */
+    private static final int MAX_IMAGES_PER_MACHINE = 8;
 
     private ImageIndexCodec() {}
 
     /**
-     * Which machines should have which images, a help for placing: in as many notes as the fleet needs, each machine always
-     * in the same one, so that a change is one write.
+     * Returns the shards of the image index, as many as the machines need. A machine stays in the same shard while the
+     * number of shards stays the same, so that a change is one write. The index only helps to place tasks, so a
+     * machine that does not fit into its shard is left out.
      */
-    public static List<Map<String, Object>> write(Collection<Machine> machines, int mostChars) {
-        Map<Machine, List<String>> images = new LinkedHashMap<>();
-        long chars = 0;
+    public static List<Map<String, Object>> write(Collection<Machine> machines, int maxChars) {
+        Map<Machine, List<String>> imagesByMachine = new LinkedHashMap<>();
+        long totalChars = 0;
         for (Machine machine : machines) {
             if (!machine.cachedImages.isEmpty()) {
                 List<String> latest = latestImages(machine);
-                images.put(machine, latest);
-                chars += imageChars(machine, latest);
+                imagesByMachine.put(machine, latest);
+                totalChars += entryChars(machine, latest);
             }
         }
-        int count = 1;
-        // Half full in the mean, as names fall into notes by chance.
-        while (chars > mostChars && (long) count * mostChars < 2 * chars) {
-            count *= 2;
+        int shardCount = 1;
+        // Shards are half full on average, as machine names are distributed over them by hash.
+        while (totalChars > maxChars && (long) shardCount * maxChars < 2 * totalChars) {
+            shardCount *= 2;
         }
-        List<Map<String, Object>> notes = new ArrayList<>();
-        int[] size = new int[count];
-        for (int i = 0; i < count; i++) {
-            notes.add(new LinkedHashMap<>());
+        List<Map<String, Object>> shards = new ArrayList<>();
+        int[] shardChars = new int[shardCount];
+        for (int i = 0; i < shardCount; i++) {
+            shards.add(new LinkedHashMap<>());
         }
-        images.forEach((machine, latest) -> {
-            int note = Math.floorMod(machine.name.hashCode(), notes.size());
-            size[note] += imageChars(machine, latest);
-            if (size[note] <= mostChars) {
-                notes.get(note).put(machine.name, latest);
+        imagesByMachine.forEach((machine, latest) -> {
+            int shard = Math.floorMod(machine.name.hashCode(), shards.size());
+            shardChars[shard] += entryChars(machine, latest);
+            if (shardChars[shard] <= maxChars) {
+                shards.get(shard).put(machine.name, latest);
             }
         });
-        return notes;
+        return shards;
     }
 
     private static List<String> latestImages(Machine machine) {
         List<String> images = new ArrayList<>(machine.cachedImages);
-        return images.subList(Math.max(0, images.size() - MOST_A_MACHINE), images.size());
+        return images.subList(Math.max(0, images.size() - MAX_IMAGES_PER_MACHINE), images.size());
     }
 
-    /** Characters of a machine's entry with its signs. */
-    private static int imageChars(Machine machine, List<String> images) {
+    /** Returns the characters of a machine's entry, including punctuation. */
+    private static int entryChars(Machine machine, List<String> images) {
         int chars = machine.name.length() + 6;
         for (String image : images) {
             chars += image.length() + 3;
--- a/src/main/java/org/mountlug/store/JobRecordCodec.java
+++ b/src/main/java/org/mountlug/store/JobRecordCodec.java
@@ -17,112 +17,129 @@
 import org.mountlug.wire.Json;
 
 /**
- * Records in the state service. A job's progress is written as runs of finished tasks, or a bit for each, and as runs of
- * placed ones by machine. A job whose tasks might not fit into one record keeps the first in its own and the others in
- * parts of a fixed number of tasks each ({@link #layoutFor}), so that every task has one place and no record can pass the
- * value limit. The job's own record stays the point of serialisation: each write of a part writes it too, and so fails
- * with it.
+ * Encodes the records of jobs in the state service. Finished tasks are written as ranges or as a bit set, and placed
+ * tasks as runs by machine. A job whose tasks might not fit into one record keeps the first ones in its main record
+ * and the others in parts of a fixed number of tasks each ({@link #layoutFor}), so that every task belongs to one
+ * record and no record can exceed the value limit. The main record remains the point of serialisation: each write of a
+ * part also writes the main record, and so fails if that write conflicts.
  *
- * <p>Versions before parts know only the own record, so parts are written once no controller runs one of them; what
- * they do not know of a record they lose when they write it back. {@code docs/design.md} lists what is compatible.
+ * <p>Versions before parts know only the main record, so parts are written only when no controller runs such a
+ * version; a field of a record that they do not know is lost when they write the record back. {@code docs/design.md}
+ * lists what is compatible.
  */
 public final class JobRecordCodec {
-    /** Field of a live record: its user has cancelled the job. */
+    /** Field of a live record that is true when its user has cancelled the job. */
     private static final String CANCELLED = "x";
 
-    /** Characters of a record beside its description and tasks: keys, write, zones, counts, failures. */
-    private static final int FIXED_CHARS = 300;
-    /** The same of a part. */
-    private static final int PART_FIXED_CHARS = 220;
-    /** Characters of failures in a record, a help for retries only; the first is what a version before parts took. */
-    private static final int FAILURES_CHARS = 600;
+    /**
+     * Characters of a main record in addition to its specification and tasks: keys, write id, zones, counts, failures.
+     */
+    private static final int RECORD_OVERHEAD_CHARS = 300;
+    /** Characters of a part in addition to its tasks. */
+    private static final int PART_OVERHEAD_CHARS = 220;
+    /**
+     * Characters after which a record gets no further failure counts, which only help with retries. This limit is the
+     * one of versions before parts.
+     */
+    private static final int MAX_FAILURES_CHARS = 600;
 
-    private static final int FAILURES_PART_CHARS = 90;
-    /** Characters of a task at the worst, beside its number and machine: attempt, session, zone and signs. */
-    private static final int TASK_CHARS = 17;
-    /** What a version before parts keeps of a service: no run time is below nothing, and it writes it back as it is. */
-    private static final double SERVICE_EXPECTED = -1;
+    /** Characters after which a main record that has parts, or a part, gets no further failure counts. */
+    private static final int MAX_FAILURES_CHARS_OF_SPLIT_JOB = 90;
+    /** Maximum characters of a task in addition to its number and machine: attempt, session, zone and punctuation. */
+    private static final int TASK_OVERHEAD_CHARS = 17;
+    /**
+     * Marks a service in its stored expected run time. A run time is never negative otherwise, and versions before
+     * parts write the value back unchanged.
+     */
+    private static final double SERVICE_EXPECTED_RUN_S = -1;
 
     private JobRecordCodec() {}
 
     // ---- specification ----------------------------------------------------------------------------------------
 
-    /** The specification as it stands in a record. */
-    public static Map<String, Object> spec(JobSpec s) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("l", s.jobClass());
-        m.put("t", s.team());
-        m.put("g", s.isGang());
-        m.put("u", s.priority().ordinal());
-        m.put("n", s.tasks());
-        m.put("c", s.request().cpus());
-        m.put("q", s.request().gpus());
-        m.put("r", s.request().ramGb());
-        if (s.machineTypes() != null) {
-            m.put("b", s.machineTypes());
+    /** Returns the specification as it is stored in a record. */
+    public static Map<String, Object> spec(JobSpec spec) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("l", spec.jobClass());
+        fields.put("t", spec.team());
+        fields.put("g", spec.isGang());
+        fields.put("u", spec.priority().ordinal());
+        fields.put("n", spec.tasks());
+        fields.put("c", spec.request().cpus());
+        fields.put("q", spec.request().gpus());
+        fields.put("r", spec.request().ramGb());
+        if (spec.machineTypes() != null) {
+            fields.put("b", spec.machineTypes());
         }
-        if (s.zone() != null) {
-            m.put("z", s.zone());
+        if (spec.zone() != null) {
+            fields.put("z", spec.zone());
         }
-        if (s.oneZone()) {
-            m.put("o", true);
+        if (spec.oneZone()) {
+            fields.put("o", true);
         }
-        if (s.spreadAcrossZones()) {
-            m.put("a", true);
+        if (spec.spreadAcrossZones()) {
+            fields.put("a", true);
         }
-        if (s.spotAllowed()) {
-            m.put("p", true);
+        if (spec.spotAllowed()) {
+            fields.put("p", true);
         }
-        m.put("i", s.image());
-        m.put("ig", s.imageGb());
-        m.put("e", s.isService() ? SERVICE_EXPECTED : s.expectedRunS());
-        m.put("k", s.checkpointIntervalS());
-        m.put("s", s.checkpointSaveS());
-        if (!Double.isNaN(s.deadlineS())) {
-            m.put("d", s.deadlineS());
+        fields.put("i", spec.image());
+        fields.put("ig", spec.imageGb());
+        fields.put("e", spec.isService() ? SERVICE_EXPECTED_RUN_S : spec.expectedRunS());
+        fields.put("k", spec.checkpointIntervalS());
+        fields.put("s", spec.checkpointSaveS());
+        if (!Double.isNaN(spec.deadlineS())) {
+            fields.put("d", spec.deadlineS());
         }
-        m.put("at", s.submittedMs());
-        return m;
+        fields.put("at", spec.submittedMs());
+        return fields;
     }
 
-    private static JobSpec spec(String id, Map<String, Object> m) {
-        double expected = Fields.getDouble(m, "e", 1);
-        JobType shape = Fields.getBoolean(m, "g") ? JobType.GANG : expected < 0 ? JobType.SERVICE : JobType.ARRAY;
+    private static JobSpec spec(String jobId, Map<String, Object> fields) {
+        double expectedRunS = Fields.getDouble(fields, "e", 1);
+        JobType jobType =
+                Fields.getBoolean(fields, "g") ? JobType.GANG : expectedRunS < 0 ? JobType.SERVICE : JobType.ARRAY;
         return new JobSpec(
-                id,
-                Fields.getString(m, "l", ""),
-                Fields.getString(m, "t", ""),
-                shape,
-                Priority.values()[(int) Fields.getLong(m, "u", 1)],
-                (int) Fields.getLong(m, "n", 1),
-                new Resources(Fields.getDouble(m, "c", 0), Fields.getDouble(m, "q", 0), Fields.getDouble(m, "r", 0)),
-                Fields.getStrings(m, "b"),
-                Fields.getString(m, "z"),
-                Fields.getBoolean(m, "o"),
-                Fields.getBoolean(m, "a"),
-                Fields.getBoolean(m, "p"),
-                Fields.getString(m, "i", ""),
-                Fields.getDouble(m, "ig", 0),
-                Math.max(0, expected),
-                Fields.getDouble(m, "k", 0),
-                Fields.getDouble(m, "s", 0),
-                Fields.getDouble(m, "d", Double.NaN),
-                Fields.getLong(m, "at", 0));
+                jobId,
+                Fields.getString(fields, "l", ""),
+                Fields.getString(fields, "t", ""),
+                jobType,
+                Priority.values()[(int) Fields.getLong(fields, "u", 1)],
+                (int) Fields.getLong(fields, "n", 1),
+                new Resources(
+                        Fields.getDouble(fields, "c", 0),
+                        Fields.getDouble(fields, "q", 0),
+                        Fields.getDouble(fields, "r", 0)),
+                Fields.getStrings(fields, "b"),
+                Fields.getString(fields, "z"),
+                Fields.getBoolean(fields, "o"),
+                Fields.getBoolean(fields, "a"),
+                Fields.getBoolean(fields, "p"),
+                Fields.getString(fields, "i", ""),
+                Fields.getDouble(fields, "ig", 0),
+                Math.max(0, expectedRunS),
+                Fields.getDouble(fields, "k", 0),
+                Fields.getDouble(fields, "s", 0),
+                Fields.getDouble(fields, "d", Double.NaN),
+                Fields.getLong(fields, "at", 0));
     }
 
     // ---- job --------------------------------------------------------------------------------------------------
 
-    /** Whether a job with this description can be stored, whatever becomes of its tasks, in records of so many characters. */
-    public static boolean fits(JobSpec s, int chars) {
-        return Json.length(spec(s)) + FIXED_CHARS <= chars;
+    /**
+     * Whether a job with this specification can be stored in records of {@code maxChars} characters, wherever its
+     * tasks are and however they end.
+     */
+    public static boolean fits(JobSpec spec, int maxChars) {
+        return Json.length(spec(spec)) + RECORD_OVERHEAD_CHARS <= maxChars;
     }
 
-    /** A record just submitted. */
-    public static Map<String, Object> newRecord(JobSpec s) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("s", spec(s));
-        m.put("w", "");
-        return m;
+    /** Returns the record of a job that has just been submitted. */
+    public static Map<String, Object> newRecord(JobSpec spec) {
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put("s", spec(spec));
+        record.put("w", "");
+        return record;
     }
 
     /** Whether a user has cancelled the job of this live record. */
@@ -130,294 +147,331 @@
         return Fields.getBoolean(record, CANCELLED);
     }
 
-    /** The same record, cancelled. */
+    /** Returns a copy of a live record that is marked as cancelled. */
     public static Map<String, Object> withCancellation(Map<String, Object> record) {
         Map<String, Object> cancelled = new LinkedHashMap<>(record);
         cancelled.put(CANCELLED, true);
         return cancelled;
     }
 
-    /** How many tasks a job's own record holds, and how many each part. */
+    /** The number of tasks that a job's main record holds, and the number that each part holds. */
     public record PartLayout(int ownTasks, int tasksPerPart) {}
 
     /**
-     * How to store a job so that no record passes {@code chars}, wherever its tasks are and however they end: every
-     * task on a machine of its own and every second one done.
+     * Returns the layout with which no record of a job exceeds {@code maxChars}, wherever its tasks are and however
+     * they end; the worst case is every task on its own machine and every second one done.
      */
-    public static PartLayout layoutFor(JobSpec s, int chars, int machineNameChars) {
-        double each = Integer.toString(s.tasks()).length() + machineNameChars + TASK_CHARS + 1 / 6.0;
-        int own = (int) Math.floor((chars - FIXED_CHARS - Json.length(spec(s))) / each);
-        int per = (int) Math.floor((chars - PART_FIXED_CHARS) / each);
-        return new PartLayout(Math.max(0, own), Math.max(1, per));
+    public static PartLayout layoutFor(JobSpec spec, int maxChars, int machineNameChars) {
+        double charsPerTask =
+                Integer.toString(spec.tasks()).length() + machineNameChars + TASK_OVERHEAD_CHARS + 1 / 6.0;
+        int mainRecordTasks =
+                (int) Math.floor((maxChars - RECORD_OVERHEAD_CHARS - Json.length(spec(spec))) / charsPerTask);
+        int tasksPerPart = (int) Math.floor((maxChars - PART_OVERHEAD_CHARS) / charsPerTask);
+        return new PartLayout(Math.max(0, mainRecordTasks), Math.max(1, tasksPerPart));
     }
 
-    /** A job's own record. */
-    public static Map<String, Object> write(Job j, String writeId) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("s", spec(j.storedSpec));
-        m.put("w", writeId);
-        if (j.cancelled) {
-            m.put(CANCELLED, true);
+    /** Returns a job's main record. */
+    public static Map<String, Object> write(Job job, String writeId) {
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put("s", spec(job.storedSpec));
+        record.put("w", writeId);
+        if (job.cancelled) {
+            record.put(CANCELLED, true);
         }
-        m.put("a", j.lastAttempt);
-        if (j.isSplit()) {
-            m.put("K", List.of((long) j.mainRecordTasks(), (long) j.tasksPerPart()));
-            m.put("cd", (long) j.doneTasks.cardinality());
+        record.put("a", job.lastAttempt);
+        if (job.isSplit()) {
+            record.put("K", List.of((long) job.mainRecordTasks(), (long) job.tasksPerPart()));
+            record.put("cd", (long) job.doneTasks.cardinality());
         }
-        if (j.isSplit() || j.spec.isService()) {
-            m.put("cr", (long) running(j));
+        if (job.isSplit() || job.spec.isService()) {
+            record.put("cr", (long) runningTaskCount(job));
         }
-        progress(j, 0, j.mainRecordTasks(), j.isSplit() ? FAILURES_PART_CHARS : FAILURES_CHARS, m);
-        return m;
+        writeProgress(
+                job,
+                0,
+                job.mainRecordTasks(),
+                job.isSplit() ? MAX_FAILURES_CHARS_OF_SPLIT_JOB : MAX_FAILURES_CHARS,
+                record);
+        return record;
     }
 
-    /** The tasks that are told as running: of a service only those that run, as its user waits for each of them. */
-    private static int running(Job j) {
-        if (!j.spec.isService()) {
-            return j.placements.size();
+    /**
+     * Returns the number of tasks that are reported to the user as running: of an array or a gang the placed ones; of
+     * a service only the replicas that run, as its user waits for each of them.
+     */
+    private static int runningTaskCount(Job job) {
+        if (!job.spec.isService()) {
+            return job.placements.size();
         }
-        int n = 0;
-        // What an earlier leader placed ran, most likely, and will soon be seen to.
-        for (Placement p : j.placements.values()) {
-            if (!Double.isNaN(p.runningSinceS) || p.version == 0 && !p.reported) {
-                n++;
+        int count = 0;
+        // A replica placed by an earlier leader most likely runs already; the next report of its machine shows it.
+        for (Placement placement : job.placements.values()) {
+            if (!Double.isNaN(placement.runningSinceS) || placement.version == 0 && !placement.reported) {
+                count++;
             }
         }
-        return n;
+        return count;
     }
 
-    /** A part, which holds whatever a job's own record leaves to it. */
-    public static Map<String, Object> writePart(Job j, int writePart) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        progress(j, j.firstTaskOf(writePart), j.firstTaskOf(writePart + 1), FAILURES_PART_CHARS, m);
-        return m;
+    /** Returns a part, which holds tasks that the main record leaves out. */
+    public static Map<String, Object> writePart(Job job, int part) {
+        Map<String, Object> record = new LinkedHashMap<>();
+        writeProgress(job, job.firstTaskOf(part), job.firstTaskOf(part + 1), MAX_FAILURES_CHARS_OF_SPLIT_JOB, record);
+        return record;
     }
 
-    /** The key of a further part of a job. */
-    public static String partKey(String job, int part) {
-        return StateKeys.RECORD_PARTS + job + "/" + part;
+    /** Returns the key of a part of a job. */
+    public static String partKey(String jobId, int part) {
+        return StateKeys.RECORD_PARTS + jobId + "/" + part;
     }
 
-    private static void progress(Job j, int from, int to, int failuresChars, Map<String, Object> m) {
-        BitSet done = j.doneTasks.get(from, to);
+    private static void writeProgress(
+            Job job, int firstTask, int endTask, int maxFailuresChars, Map<String, Object> record) {
+        BitSet done = job.doneTasks.get(firstTask, endTask);
         if (!done.isEmpty()) {
-            String ranges = ranges(done, from);
-            // Ranges are short while tasks end in order; where they do not, a bit a task is shorter.
-            if (ranges.length() <= (to - from) / 6 + 4) {
-                m.put("d", ranges);
+            String ranges = formatRanges(done, firstTask);
+            // Ranges are short while tasks end in order; otherwise one bit for each task is shorter.
+            if (ranges.length() <= (endTask - firstTask) / 6 + 4) {
+                record.put("d", ranges);
             } else {
-                m.put("D", Base64.getEncoder().withoutPadding().encodeToString(done.toByteArray()));
+                record.put("D", Base64.getEncoder().withoutPadding().encodeToString(done.toByteArray()));
             }
         }
-        List<Placement> placed = new ArrayList<>(j.placements.subMap(from, to).values());
-        if (!placed.isEmpty()) {
-            placed(placed, m);
+        List<Placement> placements =
+                new ArrayList<>(job.placements.subMap(firstTask, endTask).values());
+        if (!placements.isEmpty()) {
+            writePlacements(placements, record);
         }
-        StringBuilder e = new StringBuilder();
-        for (var f : j.failuresByTask.int2IntEntrySet()) {
-            if (f.getIntKey() < from || f.getIntKey() >= to) {
+        StringBuilder failures = new StringBuilder();
+        for (var failureCount : job.failuresByTask.int2IntEntrySet()) {
+            if (failureCount.getIntKey() < firstTask || failureCount.getIntKey() >= endTask) {
                 continue;
             }
-            if (e.length() > failuresChars) {
-                break; // a help for retries only, never worth the record's limit
+            if (failures.length() > maxFailuresChars) {
+                break; // failure counts only help with retries and must not use up the value limit
             }
-            if (e.length() > 0) {
-                e.append(',');
+            if (failures.length() > 0) {
+                failures.append(',');
             }
-            e.append(f.getIntKey()).append('.').append(f.getIntValue());
+            failures.append(failureCount.getIntKey()).append('.').append(failureCount.getIntValue());
         }
-        if (e.length() > 0) {
-            m.put("e", e.toString());
+        if (failures.length() > 0) {
+            record.put("e", failures.toString());
         }
     }
 
     /**
-     * Where the tasks are: for each machine its name without what all names begin with, its zone's number and its
-     * session where they are not the usual ones, then runs of tasks with their attempt, "231!1!2=5-10:3,14:4".
+     * Writes the placements. Each group of tasks on one machine and session is written as the machine's name without
+     * the prefix common to all names, the zone's number if it is not 0 or a session follows, the session if it is not
+     * 1, and then runs of tasks with their attempt, for example "231!1!2=5-10:3,14:4".
      */
-    private static void placed(List<Placement> placed, Map<String, Object> m) {
-        Map<String, List<Placement>> by = new LinkedHashMap<>();
+    private static void writePlacements(List<Placement> placements, Map<String, Object> record) {
+        Map<String, List<Placement>> bySession = new LinkedHashMap<>();
         List<String> zones = new ArrayList<>();
         String prefix = null;
-        for (Placement p : placed) {
-            by.computeIfAbsent(p.machine + " " + p.session, k -> new ArrayList<>())
-                    .add(p);
-            if (!zones.contains(p.zone)) {
-                zones.add(p.zone);
+        for (Placement placement : placements) {
+            bySession
+                    .computeIfAbsent(placement.machine + " " + placement.session, unseen -> new ArrayList<>())
+                    .add(placement);
+            if (!zones.contains(placement.zone)) {
+                zones.add(placement.zone);
             }
-            prefix = prefix == null ? p.machine : Strings.commonPrefix(prefix, p.machine);
+            prefix = prefix == null ? placement.machine : Strings.commonPrefix(prefix, placement.machine);
         }
-        StringBuilder b = new StringBuilder();
-        for (List<Placement> l : by.values()) {
-            Placement first = l.get(0);
-            if (b.length() > 0) {
-                b.append(' ');
+        StringBuilder text = new StringBuilder();
+        for (List<Placement> group : bySession.values()) {
+            Placement first = group.get(0);
+            if (text.length() > 0) {
+                text.append(' ');
             }
-            b.append(first.machine, prefix.length(), first.machine.length());
+            text.append(first.machine, prefix.length(), first.machine.length());
             int zone = zones.indexOf(first.zone);
             if (zone != 0 || first.session != 1) {
-                b.append('!').append(zone);
+                text.append('!').append(zone);
             }
             if (first.session != 1) {
-                b.append('!').append(first.session);
+                text.append('!').append(first.session);
             }
-            b.append('=');
-            for (int i = 0; i < l.size(); ) {
-                Placement p = l.get(i);
-                int k = i + 1;
-                while (k < l.size() && l.get(k).task == p.task + k - i && l.get(k).attempt == p.attempt) {
-                    k++;
+            text.append('=');
+            for (int start = 0; start < group.size(); ) {
+                Placement placement = group.get(start);
+                int end = start + 1;
+                while (end < group.size()
+                        && group.get(end).task == placement.task + end - start
+                        && group.get(end).attempt == placement.attempt) {
+                    end++;
                 }
-                if (i > 0) {
-                    b.append(',');
+                if (start > 0) {
+                    text.append(',');
                 }
-                b.append(p.task);
-                if (k > i + 1) {
-                    b.append('-').append(p.task + k - i - 1);
+                text.append(placement.task);
+                if (end > start + 1) {
+                    text.append('-').append(placement.task + end - start - 1);
                 }
-                b.append(':').append(p.attempt);
-                i = k;
+                text.append(':').append(placement.attempt);
+                start = end;
             }
         }
-        m.put("mp", prefix);
-        m.put("z", zones);
-        m.put("p", b.toString());
+        record.put("mp", prefix);
+        record.put("z", zones);
+        record.put("p", text.toString());
     }
 
-    private interface Run {
-        void run(String machine, String zone, long session, int from, int to, long attempt);
+    private interface PlacementRunVisitor {
+        void visit(String machine, String zone, long session, int firstTask, int lastTask, long attempt);
     }
 
-    private static void runs(Map<String, Object> m, Run each) {
-        String p = Fields.getString(m, "p", "");
-        if (p.isEmpty()) {
+    private static void forEachPlacementRun(Map<String, Object> record, PlacementRunVisitor visitor) {
+        String placements = Fields.getString(record, "p", "");
+        if (placements.isEmpty()) {
             return;
         }
-        String prefix = Fields.getString(m, "mp", "");
-        List<Object> zones = Fields.getList(m, "z");
-        for (String entry : p.split(" ")) {
-            int eq = entry.indexOf('=');
-            String[] head = entry.substring(0, eq).split("!");
-            String zone = (String) zones.get(head.length > 1 ? Integer.parseInt(head[1]) : 0);
-            long session = head.length > 2 ? Long.parseLong(head[2]) : 1;
-            for (String r : entry.substring(eq + 1).split(",")) {
-                int colon = r.indexOf(':');
-                int dash = r.lastIndexOf('-', colon);
-                int from = Integer.parseInt(r.substring(0, dash < 0 ? colon : dash));
-                int to = dash < 0 ? from : Integer.parseInt(r.substring(dash + 1, colon));
-                each.run(prefix + head[0], zone, session, from, to, Long.parseLong(r.substring(colon + 1)));
+        String prefix = Fields.getString(record, "mp", "");
+        List<Object> zones = Fields.getList(record, "z");
+        for (String entry : placements.split(" ")) {
+            int equalsSign = entry.indexOf('=');
+            String[] location = entry.substring(0, equalsSign).split("!");
+            String zone = (String) zones.get(location.length > 1 ? Integer.parseInt(location[1]) : 0);
+            long session = location.length > 2 ? Long.parseLong(location[2]) : 1;
+            for (String run : entry.substring(equalsSign + 1).split(",")) {
+                int colon = run.indexOf(':');
+                int dash = run.lastIndexOf('-', colon);
+                int firstTask = Integer.parseInt(run.substring(0, dash < 0 ? colon : dash));
+                int lastTask = dash < 0 ? firstTask : Integer.parseInt(run.substring(dash + 1, colon));
+                visitor.visit(
+                        prefix + location[0],
+                        zone,
+                        session,
+                        firstTask,
+                        lastTask,
+                        Long.parseLong(run.substring(colon + 1)));
             }
         }
     }
 
-    private static BitSet done(Map<String, Object> m, int first) {
-        String bits = Fields.getString(m, "D");
+    private static BitSet readDone(Map<String, Object> record, int recordFirstTask) {
+        String encodedBits = Fields.getString(record, "D");
         BitSet done = new BitSet();
-        if (bits != null) {
-            BitSet b = BitSet.valueOf(Base64.getDecoder().decode(bits));
-            for (int i = b.nextSetBit(0); i >= 0; i = b.nextSetBit(i + 1)) {
-                done.set(first + i);
+        if (encodedBits != null) {
+            BitSet bits = BitSet.valueOf(Base64.getDecoder().decode(encodedBits));
+            for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1)) {
+                done.set(recordFirstTask + i);
             }
             return done;
         }
-        String d = Fields.getString(m, "d", "");
-        if (!d.isEmpty()) {
-            for (String r : d.split(",")) {
-                int dash = r.indexOf('-');
+        String ranges = Fields.getString(record, "d", "");
+        if (!ranges.isEmpty()) {
+            for (String range : ranges.split(",")) {
+                int dash = range.indexOf('-');
                 if (dash < 0) {
-                    done.set(Integer.parseInt(r));
+                    done.set(Integer.parseInt(range));
                 } else {
-                    done.set(Integer.parseInt(r.substring(0, dash)), Integer.parseInt(r.substring(dash + 1)) + 1);
+                    done.set(
+                            Integer.parseInt(range.substring(0, dash)),
+                            Integer.parseInt(range.substring(dash + 1)) + 1);
                 }
             }
         }
         return done;
     }
 
-    /** Tasks of a live record that are done, and tasks that are placed on a machine. */
+    /**
+     * Counts of a live record.
+     *
+     * @param done tasks that are done
+     * @param placed tasks that are placed on a machine; of a service the running replicas, if the record has their
+     *     number
+     */
     public record TaskCounts(int done, int placed) {}
 
-    /** How many tasks of a live record are done and how many are placed. */
+    /** Returns how many tasks of a live record are done and how many are placed. */
     public static TaskCounts taskCounts(Map<String, Object> record) {
-        boolean parts = record.containsKey("K");
-        if (parts || record.containsKey("cr")) {
-            int done = parts ? (int) Fields.getLong(record, "cd", 0) : 0;
+        boolean isSplit = record.containsKey("K");
+        if (isSplit || record.containsKey("cr")) {
+            int done = isSplit ? (int) Fields.getLong(record, "cd", 0) : 0;
             return new TaskCounts(done, (int) Fields.getLong(record, "cr", 0));
         }
         int[] placed = new int[1];
-        runs(record, (machine, zone, session, from, to, attempt) -> placed[0] += to - from + 1);
-        return new TaskCounts(done(record, 0).cardinality(), placed[0]);
+        forEachPlacementRun(
+                record,
+                (machine, zone, session, firstTask, lastTask, attempt) -> placed[0] += lastTask - firstTask + 1);
+        return new TaskCounts(readDone(record, 0).cardinality(), placed[0]);
     }
 
-    private static String ranges(BitSet done, int first) {
-        StringBuilder b = new StringBuilder();
+    private static String formatRanges(BitSet done, int firstTask) {
+        StringBuilder text = new StringBuilder();
         for (int i = done.nextSetBit(0); i >= 0; ) {
             int end = done.nextClearBit(i) - 1;
-            if (b.length() > 0) {
-                b.append(',');
+            if (text.length() > 0) {
+                text.append(',');
             }
-            b.append(first + i);
+            text.append(firstTask + i);
             if (end > i) {
-                b.append('-').append(first + end);
+                text.append('-').append(firstTask + end);
             }
             i = done.nextSetBit(end + 1);
         }
-        return b.toString();
+        return text.toString();
     }
 
-    /** Reads a live job from its record. */
-    public static Job read(String id, Map<String, Object> m, long revision, double nowS) {
-        Job j = new Job(spec(id, Fields.asMap(m.get("s"))));
-        j.revision = revision;
-        j.writeId = Fields.getString(m, "w", "");
-        j.cancelled = isCancelled(m);
-        j.lastAttempt = Fields.getLong(m, "a", 0);
-        j.waitingSinceS = nowS;
-        List<Object> k = Fields.getList(m, "K");
-        if (k.size() == 2) {
-            j.setLayout(((Number) k.get(0)).intValue(), ((Number) k.get(1)).intValue());
+    /** Reads a live job from its main record. */
+    public static Job read(String jobId, Map<String, Object> record, long revision, double nowS) {
+        Job job = new Job(spec(jobId, Fields.asMap(record.get("s"))));
+        job.revision = revision;
+        job.writeId = Fields.getString(record, "w", "");
+        job.cancelled = isCancelled(record);
+        job.lastAttempt = Fields.getLong(record, "a", 0);
+        job.waitingSinceS = nowS;
+        List<Object> layout = Fields.getList(record, "K");
+        if (layout.size() == 2) {
+            job.setLayout(((Number) layout.get(0)).intValue(), ((Number) layout.get(1)).intValue());
         }
-        progress(j, m, 0, nowS);
-        j.everPlaced = j.lastAttempt > 0;
-        return j;
+        readProgress(job, record, 0, nowS);
+        job.everPlaced = job.lastAttempt > 0;
+        return job;
     }
 
-    /** Whether a live record leaves tasks to parts. */
-    public static boolean hasParts(Map<String, Object> m) {
-        return m.containsKey("K");
+    /** Whether a live main record has parts. */
+    public static boolean hasParts(Map<String, Object> record) {
+        return record.containsKey("K");
     }
 
-    /** Takes in a part of a job that has such. */
-    public static void readPart(Job j, int readPart, Map<String, Object> m, double nowS) {
-        progress(j, m, j.firstTaskOf(readPart), nowS);
+    /** Adds the progress stored in a part to its job. */
+    public static void readPart(Job job, int part, Map<String, Object> record, double nowS) {
+        readProgress(job, record, job.firstTaskOf(part), nowS);
     }
 
-    private static void progress(Job j, Map<String, Object> m, int first, double nowS) {
-        // A version before services noted replicas that ended as done; for us they never are.
-        if (!j.spec.isService()) {
-            j.doneTasks.or(done(m, first));
+    private static void readProgress(Job job, Map<String, Object> record, int recordFirstTask, double nowS) {
+        // Versions before services recorded replicas that ended as done; in this version replicas are never done.
+        if (!job.spec.isService()) {
+            job.doneTasks.or(readDone(record, recordFirstTask));
         }
-        runs(m, (machine, zone, session, from, to, attempt) -> {
-            for (int t = from; t <= to; t++) {
-                j.placements.put(t, new Placement(j, t, attempt, machine, zone, session, 0, nowS));
+        forEachPlacementRun(record, (machine, zone, session, firstTask, lastTask, attempt) -> {
+            for (int task = firstTask; task <= lastTask; task++) {
+                job.placements.put(task, new Placement(job, task, attempt, machine, zone, session, 0, nowS));
             }
         });
-        String e = Fields.getString(m, "e", "");
-        if (!e.isEmpty()) {
-            for (String r : e.split(",")) {
-                int dot = r.indexOf('.');
-                j.failuresByTask.put(Integer.parseInt(r.substring(0, dot)), Integer.parseInt(r.substring(dot + 1)));
+        String failures = Fields.getString(record, "e", "");
+        if (!failures.isEmpty()) {
+            for (String entry : failures.split(",")) {
+                int dot = entry.indexOf('.');
+                job.failuresByTask.put(
+                        Integer.parseInt(entry.substring(0, dot)), Integer.parseInt(entry.substring(dot + 1)));
             }
         }
     }
 
     // ---- final ------------------------------------------------------------------------------------------------
 
-    /** The record of a job that is over. */
+    /**
+     * Returns the final record of a job.
+     *
+     * @param done whether the job is done; if not, it was cancelled
+     */
     public static Map<String, Object> finalRecord(boolean done, int tasks) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("done", done);
-        m.put("n", tasks);
-        return m;
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put("done", done);
+        record.put("n", tasks);
+        return record;
     }
 }
--- a/src/main/java/org/mountlug/store/ReservationCodec.java
+++ b/src/main/java/org/mountlug/store/ReservationCodec.java
@@ -6,26 +6,30 @@
 import org.mountlug.core.model.Reservation;
 import org.mountlug.wire.Fields;
 
-/** The record of a gang's reservations: each as the task's number and the machine's name. */
+/** Encodes a gang's reservations, each as the task's number and the machine's name. */
 public final class ReservationCodec {
     private static final String ENTRIES = "t";
     private static final char SEPARATOR = '@';
-    /** Characters of the record beside its entries, and of an entry beside its text. */
-    private static final int FIXED_CHARS = 10;
+    /** Characters of the record in addition to its entries. */
+    private static final int RECORD_OVERHEAD_CHARS = 10;
 
-    private static final int ENTRY_SIGNS = 3;
+    /** Characters of an entry in addition to its text. */
+    private static final int ENTRY_OVERHEAD_CHARS = 3;
 
     private ReservationCodec() {}
 
-    /** The record of a gang's reservations; what does not fit is left out. */
-    public static Map<String, Object> write(List<Reservation> reservations, int mostChars) {
+    /**
+     * Returns the record of a gang's reservations; those that do not fit into {@code maxChars} characters are left
+     * out.
+     */
+    public static Map<String, Object> write(List<Reservation> reservations, int maxChars) {
         List<Object> entries = new ArrayList<>();
-        int size = FIXED_CHARS;
+        int recordChars = RECORD_OVERHEAD_CHARS;
         for (Reservation reservation : reservations) {
             String entry = reservation.task() + String.valueOf(SEPARATOR) + reservation.machine();
-            size += entry.length() + ENTRY_SIGNS;
-            if (size > mostChars) {
-                break; // what is not nominated is scanned for
+            recordChars += entry.length() + ENTRY_OVERHEAD_CHARS;
+            if (recordChars > maxChars) {
+                break; // machines for the remaining tasks are found by a scan
             }
             entries.add(entry);
         }
--- a/src/main/java/org/mountlug/store/StateClient.java
+++ b/src/main/java/org/mountlug/store/StateClient.java
@@ -8,131 +8,186 @@
 import org.mountlug.wire.PooledHttpClient;
 
 /**
- * The state service's calls. It knows when this node was last served, and keeps to this node's part of the budgets:
- * reads for users wait behind submissions, and watches have connections of their own. Every request that a user causes is
- * counted, so that polls, however many, leave the leader and the submissions their share.
+ * Sends requests to the state service. It records when the state service was last available to this controller, and
+ * keeps to this controller's part of the rate limits: users' reads wait behind submissions, and watches have
+ * connections of their own. Every request that a user causes is counted, so that polls, however many, leave the leader
+ * and the submissions their share.
  */
 public final class StateClient {
-    private final HttpTransport calls;
-    private final HttpTransport watches;
+    private final HttpTransport requestTransport;
+    private final HttpTransport watchTransport;
     private final java.util.function.DoubleSupplier clockS;
-    /** What users' requests of all kinds may ask; submissions and cancellations go ahead of it and leave polls the rest. */
-    private final TokenBucket requests;
-
-    private final TokenBucket submits;
-    /** Steady seconds of the last answer that shows we are served, and of the last refusal. */
+    /**
+     * Rate limit of users' requests of all kinds. Submissions and cancellations are charged to it without waiting, and
+     * polls get the rest.
+     */
+    private final TokenBucket userRequests;
+
+    /** Rate limit of submissions and cancellations. */
+    private final TokenBucket submissions;
+    /**
+     * Monotonic seconds at which the last request was sent to which the state service responded with neither 429 nor
+     * 503.
+     */
     private volatile double lastServedS = Double.NEGATIVE_INFINITY;
 
-    private volatile double refusedS = Double.NEGATIVE_INFINITY;
-    /** Steady seconds of the last answer that more was asked than the state service takes. */
+    /** Monotonic seconds at which the last request was sent that got no response or 503. */
+    private volatile double lastUnavailableS = Double.NEGATIVE_INFINITY;
+    /**
+     * Monotonic seconds at which the last request was sent that exceeded the rate limit of the state service (429).
+     */
     private volatile double lastRateLimitedS = Double.NEGATIVE_INFINITY;
 
-    /** @param nodes how many nodes draw on the same budget */
+    /**
+     * Creates a client.
+     *
+     * @param clockS monotonic clock in seconds
+     * @param stateRps requests per second that the state service accepts from all controllers together
+     * @param controllerCount how many controllers share these requests
+     */
     public StateClient(
-            HttpTransport calls,
-            HttpTransport watches,
+            HttpTransport requestTransport,
+            HttpTransport watchTransport,
             java.util.function.DoubleSupplier clockS,
-            double rps,
-            int nodes) {
-        this.calls = calls;
-        this.watches = watches;
+            double stateRps,
+            int controllerCount) {
+        this.requestTransport = requestTransport;
+        this.watchTransport = watchTransport;
         this.clockS = clockS;
-        double requests = rps * Constants.USER_REQUEST_SHARE / nodes;
-        double submit = rps * Constants.SUBMIT_SHARE / nodes;
-        this.requests = new TokenBucket(requests, requests * Constants.READ_BURST_S);
-        this.submits = new TokenBucket(submit, submit * Constants.SUBMIT_BURST_S);
+        double userRequestsPerS = stateRps * Constants.USER_REQUEST_SHARE / controllerCount;
+        double submissionsPerS = stateRps * Constants.SUBMIT_SHARE / controllerCount;
+        this.userRequests = new TokenBucket(userRequestsPerS, userRequestsPerS * Constants.READ_BURST_S);
+        this.submissions = new TokenBucket(submissionsPerS, submissionsPerS * Constants.SUBMIT_BURST_S);
     }
 
-    /** Takes a read for a user from the budget, false if none is left. */
+    /** Acquires a token for a user's read; returns false if none is left. */
     public boolean tryAcquireRead() {
-        return requests.tryAcquire(clockS.getAsDouble(), 1);
+        return userRequests.tryAcquire(clockS.getAsDouble(), 1);
     }
 
-    /** Takes a further request for a user who has been let in already, so that later ones wait for it. */
+    /** Charges a further request of a user who has already acquired a token, so that later requests wait for it. */
     public void chargeRequest() {
-        requests.charge(clockS.getAsDouble(), 1);
+        userRequests.charge(clockS.getAsDouble(), 1);
     }
 
-    /** Takes a submission or cancellation from the budget, false if none is left. */
+    /** Acquires a token for a submission or cancellation; returns false if none is left. */
     public boolean tryAcquireSubmission() {
-        boolean may = submits.tryAcquire(clockS.getAsDouble(), 1);
-        if (may) {
+        boolean acquired = submissions.tryAcquire(clockS.getAsDouble(), 1);
+        if (acquired) {
             chargeRequest();
         }
-        return may;
+        return acquired;
     }
 
-    /** Steady seconds at which the last request was sent that the state service served. */
+    /**
+     * Returns the monotonic seconds at which the last request was sent to which the state service responded with
+     * neither 429 nor 503.
+     */
     public double lastServedS() {
         return lastServedS;
     }
 
-    /** Steady seconds at which the last request was sent that was more than the state service takes. */
+    /**
+     * Returns the monotonic seconds at which the last request was sent that exceeded the rate limit of the state
+     * service.
+     */
     public double lastRateLimitedS() {
         return lastRateLimitedS;
     }
 
-    /** Whether the last thing heard from the state service was an answer. */
+    /**
+     * Whether the state service is available: since the last successful request none was sent that got no response or
+     * 503.
+     */
     public boolean isServed() {
-        return lastServedS >= refusedS;
+        return lastServedS >= lastUnavailableS;
     }
 
-    private Consumer<PooledHttpClient.Response> noting(Consumer<PooledHttpClient.Response> then) {
-        double asked = clockS.getAsDouble();
-        return a -> {
-            if (a.status() == 503 || a.isMissing()) {
-                refusedS = Math.max(refusedS, asked);
-            } else if (a.status() == 429) {
-                lastRateLimitedS = Math.max(lastRateLimitedS, asked);
+    private Consumer<PooledHttpClient.Response> recordingAvailability(Consumer<PooledHttpClient.Response> onResponse) {
+        double sentS = clockS.getAsDouble();
+        return response -> {
+            if (response.status() == 503 || response.isMissing()) {
+                lastUnavailableS = Math.max(lastUnavailableS, sentS);
+            } else if (response.status() == 429) {
+                lastRateLimitedS = Math.max(lastRateLimitedS, sentS);
             } else {
-                lastServedS = Math.max(lastServedS, asked);
+                lastServedS = Math.max(lastServedS, sentS);
             }
-            then.accept(a);
+            onResponse.accept(response);
         };
     }
 
     /** Reads a key. */
-    public void get(String key, int timeoutMs, Consumer<PooledHttpClient.Response> then) {
-        calls.call(Methods.GET, "/kv/" + key, null, timeoutMs, noting(then));
+    public void get(String key, int timeoutMs, Consumer<PooledHttpClient.Response> onResponse) {
+        requestTransport.call(Methods.GET, "/kv/" + key, null, timeoutMs, recordingAvailability(onResponse));
     }
 
-    /** Reads a page of the keys with a prefix. */
-    public void list(String prefix, String after, Consumer<PooledHttpClient.Response> then) {
-        calls.call(
+    /**
+     * Reads a page of the keys with a prefix.
+     *
+     * @param after the last key of the previous page, or null for the first page
+     */
+    public void list(String prefix, String after, Consumer<PooledHttpClient.Response> onResponse) {
+        requestTransport.call(
                 Methods.GET,
                 "/kv?prefix=" + prefix + (after == null ? "" : "&after=" + after) + "&page=1000",
                 null,
                 4 * Constants.STATE_TIMEOUT_MS,
-                noting(then));
+                recordingAvailability(onResponse));
     }
 
     /** Sends a transaction. */
-    public void commit(Transaction c, Consumer<PooledHttpClient.Response> then) {
-        calls.call(Methods.POST, "/multi", c.body(), Constants.STATE_TIMEOUT_MS, noting(then));
+    public void commit(Transaction transaction, Consumer<PooledHttpClient.Response> onResponse) {
+        requestTransport.call(
+                Methods.POST,
+                "/multi",
+                transaction.body(),
+                Constants.STATE_TIMEOUT_MS,
+                recordingAvailability(onResponse));
     }
 
-    /** Opens a lease. */
-    public void openLease(int lifeMs, Consumer<PooledHttpClient.Response> then) {
-        calls.call(Methods.POST, "/holds", Map.of("lifeMs", (long) lifeMs), Constants.STATE_TIMEOUT_MS, noting(then));
+    /**
+     * Opens a lease.
+     *
+     * @param lifeMs milliseconds after which the lease ends if it is not renewed
+     */
+    public void openLease(int lifeMs, Consumer<PooledHttpClient.Response> onResponse) {
+        requestTransport.call(
+                Methods.POST,
+                "/holds",
+                Map.of("lifeMs", (long) lifeMs),
+                Constants.STATE_TIMEOUT_MS,
+                recordingAvailability(onResponse));
     }
 
     /** Renews a lease. */
-    public void renewLease(long lease, Consumer<PooledHttpClient.Response> then) {
-        calls.call(Methods.POST, "/holds/" + lease + "/touch", Map.of(), Constants.STATE_TIMEOUT_MS, noting(then));
+    public void renewLease(long lease, Consumer<PooledHttpClient.Response> onResponse) {
+        requestTransport.call(
+                Methods.POST,
+                "/holds/" + lease + "/touch",
+                Map.of(),
+                Constants.STATE_TIMEOUT_MS,
+                recordingAvailability(onResponse));
     }
 
     /** Ends a lease at once. */
-    public void revokeLease(long lease, Consumer<PooledHttpClient.Response> then) {
-        calls.call(Methods.DELETE, "/holds/" + lease, null, Constants.STATE_TIMEOUT_MS, noting(then));
+    public void revokeLease(long lease, Consumer<PooledHttpClient.Response> onResponse) {
+        requestTransport.call(
+                Methods.DELETE, "/holds/" + lease, null, Constants.STATE_TIMEOUT_MS, recordingAvailability(onResponse));
     }
 
-    /** Opens a watch; an answer proves nothing of being served, as open watches survive outages. */
-    public void watch(String prefix, long after, int blockMs, Consumer<PooledHttpClient.Response> then) {
-        watches.call(
+    /**
+     * Opens a watch. Its response is not recorded as a sign of availability, as open watches survive outages.
+     *
+     * @param after revision after which changes are reported
+     * @param blockMs milliseconds after which the state service responds if nothing has changed
+     */
+    public void watch(String prefix, long after, int blockMs, Consumer<PooledHttpClient.Response> onResponse) {
+        watchTransport.call(
                 Methods.GET,
                 "/watch?prefix=" + prefix + "&after=" + after + "&blockMs=" + blockMs,
                 null,
                 blockMs + 3000,
-                then);
+                onResponse);
     }
 }
--- a/src/main/java/org/mountlug/store/StateKeys.java
+++ b/src/main/java/org/mountlug/store/StateKeys.java
@@ -1,36 +1,42 @@
 package org.mountlug.store;
 
-/** Keys in the state service: a prefix where a name follows, else the whole key. */
+/**
+ * Keys in the state service. A constant that ends with a slash is a prefix that a name follows, any other is a whole
+ * key.
+ */
 public final class StateKeys {
-    /** The leader, on its lease. */
+    /** The leader; the key is attached to the leader lease. */
     public static final String LEADER = "leader";
-    /** Live jobs, by job; each record is the job's point of serialisation. */
+    /** Main records of live jobs, by job; each is the job's point of serialisation. */
     public static final String LIVE_JOBS = "j/";
-    /** Parts of live jobs, by job and number. */
+    /** Record parts of live jobs, by job and number of the part. */
     public static final String RECORD_PARTS = "p/";
-    /** Jobs that are over, by job. */
+    /** Final records of finished jobs, by job. */
     public static final String FINAL_RECORDS = "f/";
     /** Reservations of gangs, by job. */
     public static final String RESERVATIONS = "r/";
     /** The machine types, for controllers that start while the cloud is down. */
     public static final String CATALOGUE = "catalogue";
-    /** Which machine has which image: the first note, which is the only one that production knows. */
+    /**
+     * The first shard of the image index, which lists the images of each machine. The production version reads only
+     * this one.
+     */
     public static final String IMAGE_INDEX = "images";
-    /** The further notes, by number. */
+    /** The other shards of the image index, by number. */
     public static final String IMAGE_INDEX_SHARDS = "i/";
-    /** What each controller can read, by its label. */
+    /** What each controller can read, by the controller's label. */
     public static final String VERSIONS = "v/";
-    /** How many workers' reports come to a follower that cannot tell the leader itself, by its label. */
+    /** How many reports each follower receives that cannot reach the leader directly, by the follower's label. */
     public static final String REPORT_COUNTS = "h/";
-    /** The zones' state, which production does not know. */
+    /** The zones' state, which the production version does not read. */
     public static final String ZONES = "zones";
 
-    /** The admission table, by number of its record, which production does not know. */
+    /** The records of the admission table, by number; the production version does not read them. */
     public static final String ADMISSION = "admission/";
 
     private StateKeys() {}
 
-    /** The key of a note of images. */
+    /** Returns the key of a shard of the image index. */
     public static String imageIndexShard(int shard) {
         return shard == 0 ? IMAGE_INDEX : IMAGE_INDEX_SHARDS + shard;
     }
--- a/src/main/java/org/mountlug/store/TokenBucket.java
+++ b/src/main/java/org/mountlug/store/TokenBucket.java
@@ -1,46 +1,55 @@
 package org.mountlug.store;
 
-/** A bucket that fills at a rate; time comes in as an argument, so that tests need no clock. */
+/** A token bucket for a rate limit with bursts. The time is an argument, so that tests need no clock. */
 public final class TokenBucket {
-    private final double perS;
-    private final double most;
-    private double level;
-    private double atS = Double.NaN;
+    private final double tokensPerS;
+    private final double maxTokens;
+    private double tokens;
+    private double refilledAtS = Double.NaN;
     private double totalAcquired;
 
-    /** A full bucket that gains {@code perS} a second and holds {@code most}. */
-    public TokenBucket(double perS, double most) {
-        this.perS = perS;
-        this.most = Math.max(1, most);
-        this.level = this.most;
+    /**
+     * Creates a full bucket.
+     *
+     * @param tokensPerS tokens that it gains per second
+     * @param maxTokens tokens that it holds; raised to 1 if lower
+     */
+    public TokenBucket(double tokensPerS, double maxTokens) {
+        this.tokensPerS = tokensPerS;
+        this.maxTokens = Math.max(1, maxTokens);
+        this.tokens = this.maxTokens;
     }
 
-    /** What may be taken now. */
+    /**
+     * Refills the bucket up to a time and returns its tokens, which are negative while it is in debt.
+     *
+     * @param nowS monotonic seconds
+     */
     public synchronized double available(double nowS) {
-        if (!Double.isNaN(atS)) {
-            level = Math.min(most, level + Math.max(0, nowS - atS) * perS);
+        if (!Double.isNaN(refilledAtS)) {
+            tokens = Math.min(maxTokens, tokens + Math.max(0, nowS - refilledAtS) * tokensPerS);
         }
-        atS = nowS;
-        return level;
+        refilledAtS = nowS;
+        return tokens;
     }
 
-    /** Takes so much, or nothing and false if there is less. */
-    public synchronized boolean tryAcquire(double nowS, double n) {
-        if (available(nowS) + 1e-9 < n) {
+    /** Takes {@code count} tokens, or none and returns false if there are fewer. */
+    public synchronized boolean tryAcquire(double nowS, double count) {
+        if (available(nowS) + 1e-9 < count) {
             return false;
         }
-        level -= n;
-        totalAcquired += n;
+        tokens -= count;
+        totalAcquired += count;
         return true;
     }
 
-    /** Takes so much, even if there is less; the debt is never more than a full bucket. */
-    public synchronized void charge(double nowS, double n) {
-        level = Math.max(-most, available(nowS) - n);
-        totalAcquired += n;
+    /** Takes {@code count} tokens even if there are fewer. The debt is at most the content of a full bucket. */
+    public synchronized void charge(double nowS, double count) {
+        tokens = Math.max(-maxTokens, available(nowS) - count);
+        totalAcquired += count;
     }
 
-    /** How much has been taken and spent since the beginning. */
+    /** Returns the tokens taken since the bucket was created, including those charged. */
     public synchronized double totalAcquired() {
         return totalAcquired;
     }
--- a/src/main/java/org/mountlug/store/Transaction.java
+++ b/src/main/java/org/mountlug/store/Transaction.java
@@ -7,59 +7,62 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A transaction for the state service under construction. */
+/** Builds a transaction for the state service: guards, and the writes that are made if all guards hold. */
 public final class Transaction {
     private final List<Object> guards = new ArrayList<>();
-    private final Set<String> guarded = new HashSet<>();
+    private final Set<String> guardedKeys = new HashSet<>();
     private final List<Object> writes = new ArrayList<>();
 
-    /** Makes the change depend on the revision of a key, 0 for one that does not exist. */
+    /**
+     * Makes the transaction depend on the revision of a key, 0 for a key that does not exist. Only the first guard of
+     * a key is kept.
+     */
     public Transaction requireRevision(String key, long revision) {
-        if (!guarded.add(key)) {
+        if (!guardedKeys.add(key)) {
             return this;
         }
-        Map<String, Object> g = new LinkedHashMap<>();
-        g.put("k", key);
-        g.put("stamp", revision);
-        guards.add(g);
+        Map<String, Object> guard = new LinkedHashMap<>();
+        guard.put("k", key);
+        guard.put("stamp", revision);
+        guards.add(guard);
         return this;
     }
 
-    /** Writes a key without a lease. */
+    /** Adds a write of a key without a lease. */
     public Transaction put(String key, Map<String, Object> value) {
-        Map<String, Object> w = new LinkedHashMap<>();
-        w.put("put", key);
-        w.put("v", value);
-        writes.add(w);
+        Map<String, Object> write = new LinkedHashMap<>();
+        write.put("put", key);
+        write.put("v", value);
+        writes.add(write);
         return this;
     }
 
-    /** Writes a key that goes when the lease ends. */
+    /** Adds a write of a key that is removed when the lease ends. */
     public Transaction put(String key, Map<String, Object> value, long lease) {
-        Map<String, Object> w = new LinkedHashMap<>();
-        w.put("put", key);
-        w.put("v", value);
-        w.put("hold", lease);
-        writes.add(w);
+        Map<String, Object> write = new LinkedHashMap<>();
+        write.put("put", key);
+        write.put("v", value);
+        write.put("hold", lease);
+        writes.add(write);
         return this;
     }
 
-    /** Removes a key. */
+    /** Adds the removal of a key. */
     public Transaction delete(String key) {
         writes.add(Map.of("delete", key));
         return this;
     }
 
-    /** The number of writes, as the budget counts them. */
+    /** Returns the number of writes, as the state service's rate limit counts them. */
     public int writeCount() {
         return writes.size();
     }
 
-    /** The body of the request. */
+    /** Returns the body of the request. */
     public Map<String, Object> body() {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("guards", guards);
-        m.put("writes", writes);
-        return m;
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("guards", guards);
+        body.put("writes", writes);
+        return body;
     }
 }
--- a/src/main/java/org/mountlug/store/package-info.java
+++ b/src/main/java/org/mountlug/store/package-info.java
@@ -1,2 +1,2 @@
-/** Records, transactions and budgets of the state service. */
+/** Records, transactions and rate limits of the state service. */
 package org.mountlug.store;
