--- a/src/main/java/org/mountlug/settings/AdmissionSettingsReader.java
+++ b/src/main/java/org/mountlug/settings/AdmissionSettingsReader.java
@@ -14,7 +14,7 @@
 
     private AdmissionSettingsReader() {}
 
-    /** Reads the section; without one, each controller's request budget alone decides. */
+    /** Reads the section, which may be null; without it only each controller's rate limit applies to submissions. */
     static AdmissionSettings read(Object section) throws Settings.InvalidSettingException {
         if (section == null) {
             return AdmissionSettings.disabled();
@@ -29,7 +29,7 @@
                         Constants.Admission.STALE_VIEW_S));
     }
 
-    /** The section as it is in force, for operators to read. */
+    /** Returns the effective values of the section by field, for operators to read. */
     static Map<String, Object> effectiveValues(AdmissionSettings admission) {
         return Fields.orderedMap(ENABLED, admission.enabled(), STALE_VIEW_S, admission.staleViewS());
     }
--- a/src/main/java/org/mountlug/settings/ControllerSizing.java
+++ b/src/main/java/org/mountlug/settings/ControllerSizing.java
@@ -5,56 +5,63 @@
 import org.mountlug.Constants;
 
 /**
- * Whether a machine is large enough for a controller. What cannot be met is said at the start, by the setting's name,
- * and not by an end in the middle of the day that first needs it.
+ * Checks whether a machine is large enough for a controller. A limit that is too low ends the start with the name of
+ * the setting, instead of a failure later under the load that first needs more.
  */
 public final class ControllerSizing {
     private ControllerSizing() {}
 
-    /** Sockets that a controller opens or accepts for itself, without any worker. */
-    public static int ownSockets(Settings s) {
+    /** Returns the sockets that a controller opens or accepts without those of workers. */
+    public static int ownSockets(Settings settings) {
         return Constants.STATE_CONNECTIONS
                 + Constants.WATCH_CONNECTIONS
                 + Constants.CLOUD_CONNECTIONS
                 + Constants.MAX_DIRECT_COMMANDS
-                + s.peers().size() * (1 + Constants.MAX_ACCEPTED_PER_PEER)
+                + settings.peers().size() * (1 + Constants.MAX_ACCEPTED_PER_PEER)
                 + Constants.USER_CONNECTIONS;
     }
 
-    /** Workers that a leader has sockets for beside its own; each keeps one open. */
-    public static int maxWorkers(Settings s) {
-        return s.fdLimit() - ownSockets(s) - Constants.OTHER_FILE_DESCRIPTORS;
+    /**
+     * Returns the number of workers for which a leader has sockets in addition to its own; each worker keeps one open.
+     */
+    public static int maxWorkers(Settings settings) {
+        return settings.fdLimit() - ownSockets(settings) - Constants.OTHER_FILE_DESCRIPTORS;
     }
 
-    /** Connections that may wait to be accepted: all workers come at the same time after a change of leader. */
-    public static int backlog(Settings s) {
-        return Math.max(Constants.MIN_ACCEPT_BACKLOG, maxWorkers(s));
+    /**
+     * Returns the number of connections that may wait to be accepted: after a change of leader all workers connect at
+     * the same time.
+     */
+    public static int backlog(Settings settings) {
+        return Math.max(Constants.MIN_ACCEPT_BACKLOG, maxWorkers(settings));
     }
 
     /**
-     * Says what is worth knowing about the sizes.
+     * Checks the limits of the machine and returns notices about them for the log.
      *
-     * @param heapMb the most that the heap may take, as the run line has it
+     * @param maxHeapMb the maximum heap size of this process in MB
+     * @throws Settings.InvalidSettingException if a limit is too low for a controller
      */
-    public static List<String> check(Settings s, double heapMb) throws Settings.InvalidSettingException {
-        if (maxWorkers(s) < 1) {
+    public static List<String> check(Settings settings, double maxHeapMb) throws Settings.InvalidSettingException {
+        if (maxWorkers(settings) < 1) {
             throw new Settings.InvalidSettingException(
                     "cluster.machine_limits.fd_limit",
-                    s.fdLimit() + " leaves no socket for workers; " + (ownSockets(s) + Constants.OTHER_FILE_DESCRIPTORS)
-                            + " go to the controller itself");
+                    settings.fdLimit() + " file descriptors leave no socket for workers; "
+                            + (ownSockets(settings) + Constants.OTHER_FILE_DESCRIPTORS)
+                            + " are needed by the controller itself");
         }
-        if (s.memoryLimitMb() > 0 && s.memoryLimitMb() < Constants.MIN_MEMORY_MB) {
+        if (settings.memoryLimitMb() > 0 && settings.memoryLimitMb() < Constants.MIN_MEMORY_MB) {
             throw new Settings.InvalidSettingException(
                     "cluster.machine_limits.mem_mb",
-                    s.memoryLimitMb() + " does not hold a controller, which takes " + Constants.MIN_MEMORY_MB
-                            + " MB before its first job");
+                    settings.memoryLimitMb() + " MB is too little for a controller, which needs "
+                            + Constants.MIN_MEMORY_MB + " MB before its first job");
         }
-        List<String> l = new ArrayList<>();
-        l.add("sockets for " + maxWorkers(s) + " workers");
-        if (s.memoryLimitMb() > 0 && heapMb + Constants.NON_HEAP_MB > s.memoryLimitMb()) {
-            l.add("a heap of up to " + Math.round(heapMb) + " MB and " + Constants.NON_HEAP_MB
-                    + " MB beside it may pass cluster.machine_limits.mem_mb, " + s.memoryLimitMb());
+        List<String> notices = new ArrayList<>();
+        notices.add("sockets for " + maxWorkers(settings) + " workers");
+        if (settings.memoryLimitMb() > 0 && maxHeapMb + Constants.NON_HEAP_MB > settings.memoryLimitMb()) {
+            notices.add("a heap of up to " + Math.round(maxHeapMb) + " MB and " + Constants.NON_HEAP_MB
+                    + " MB of other memory may exceed cluster.machine_limits.mem_mb = " + settings.memoryLimitMb());
         }
-        return l;
+        return notices;
     }
 }
--- a/src/main/java/org/mountlug/settings/Settings.java
+++ b/src/main/java/org/mountlug/settings/Settings.java
@@ -13,9 +13,10 @@
 import org.mountlug.wire.Fields;
 
 /**
- * The platform's settings, checked field by field; fields it does not know are ignored. The state service's limits are
- * those of {@code state} and {@code state.next}, whichever is smaller, as the latter come into force without notice;
- * only a value may be as large as {@code valueKb} while records have to be read by versions that know no smaller ones.
+ * The platform's settings, checked field by field; unknown fields are ignored. The limits of the state service are the
+ * smaller ones of {@code state} and {@code state.next}, as the latter take effect without notice. Only
+ * {@code currentValueLimitKb} is the limit of {@code state} alone: it applies while records must be readable by
+ * versions that cannot read records split into smaller ones.
  */
 public record Settings(
         String label,
@@ -46,14 +47,14 @@
     /** Another controller and the address at which it answers its peers. */
     public record Peer(String label, String endpoint) {}
 
-    /** An aim as the platform restates it: {@code kind} wait, finished or deadline. */
+    /** An objective of the platform for a job class: {@code kind} is wait, finished or deadline. */
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
-    /** A setting that is missing or wrong, named by its path. */
+    /** Reports a missing or invalid setting by its path. */
     public static final class InvalidSettingException extends Exception {
         private static final long serialVersionUID = 1;
 
-        /** Names the field and what is wrong with it. */
+        /** Creates an exception that names the field and the problem. */
         public InvalidSettingException(String field, String problem) {
             super(field + ": " + problem);
         }
@@ -61,161 +62,166 @@
 
     /** Reads and checks the platform's file. */
     public static Settings load(Path file, OperatorSettings operators) throws InvalidSettingException {
-        Map<String, Object> m;
-        try (JsonParser p = new TomlFactory().createParser(Files.readString(file))) {
-            p.nextToken();
-            m = Fields.asMap(Cbor.readValue(p, 0));
+        Map<String, Object> fields;
+        try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
+            parser.nextToken();
+            fields = Fields.asMap(Cbor.readValue(parser, 0));
         } catch (IOException e) {
             throw new InvalidSettingException(file.toString(), "cannot be read as TOML (" + firstLine(e) + ")");
         }
-        return of(m, operators);
+        return of(fields, operators);
     }
 
-    /** Checks settings that were read already. */
-    public static Settings of(Map<String, Object> m, OperatorSettings operators) throws InvalidSettingException {
-        Reader root = new Reader("", m);
-        List<Peer> others = new ArrayList<>();
-        int i = 0;
-        for (Object o : root.list("others", false)) {
-            Reader r = new Reader("others[" + i++ + "].", Fields.asMap(o));
-            others.add(new Peer(r.text("label"), r.address("endpoint")));
+    /** Checks settings that have been parsed already. */
+    public static Settings of(Map<String, Object> fields, OperatorSettings operators) throws InvalidSettingException {
+        Reader root = new Reader("", fields);
+        List<Peer> peers = new ArrayList<>();
+        int index = 0;
+        for (Object element : root.list("others", false)) {
+            Reader reader = new Reader("others[" + index++ + "].", Fields.asMap(element));
+            peers.add(new Peer(reader.text("label"), reader.address("endpoint")));
         }
-        Reader ends = root.table("endpoints");
+        Reader endpoints = root.table("endpoints");
         Reader cluster = root.table("cluster");
         List<Team> teams = new ArrayList<>();
-        i = 0;
-        for (Object o : cluster.list("teams", true)) {
-            Reader r = new Reader("cluster.teams[" + i++ + "].", Fields.asMap(o));
-            String name = r.text("name");
+        index = 0;
+        for (Object element : cluster.list("teams", true)) {
+            Reader reader = new Reader("cluster.teams[" + index++ + "].", Fields.asMap(element));
+            String name = reader.text("name");
             teams.add(new Team(
                     name,
-                    r.number("cpus", 0, 0),
-                    r.number("cpus_max", 0, 0),
-                    r.number("gpus", 0, 0),
-                    r.number("gpus_max", 0, 0),
+                    reader.number("cpus", 0, 0),
+                    reader.number("cpus_max", 0, 0),
+                    reader.number("gpus", 0, 0),
+                    reader.number("gpus_max", 0, 0),
                     operators.teamWeight(name)));
         }
         for (String name : operators.teamWeights().keySet()) {
             if (teams.stream().noneMatch(t -> t.name().equals(name))) {
-                throw new InvalidSettingException("shares." + name, "no such team in the platform's settings");
+                throw new InvalidSettingException(
+                        "shares." + name, "the platform's settings have no team of this name");
             }
         }
         List<Objective> objectives = new ArrayList<>();
-        for (Object o : cluster.list("objectives", false)) {
-            Map<String, Object> x = Fields.asMap(o);
+        for (Object element : cluster.list("objectives", false)) {
+            Map<String, Object> objective = Fields.asMap(element);
             objectives.add(new Objective(
-                    Fields.getString(x, "kind", ""),
-                    Fields.getString(x, "class", ""),
-                    Fields.getDouble(x, "within_s", Double.NaN),
-                    Fields.getDouble(x, "share", Double.NaN)));
+                    Fields.getString(objective, "kind", ""),
+                    Fields.getString(objective, "class", ""),
+                    Fields.getDouble(objective, "within_s", Double.NaN),
+                    Fields.getDouble(objective, "share", Double.NaN)));
         }
         operators.checkAgainst(objectives);
-        Reader w = cluster.table("workers");
-        Reader s = cluster.table("state");
-        Reader next = s.m.get("next") == null ? new Reader("", Map.of()) : s.table("next");
-        double valueKb = s.positive("value_kb");
-        Reader c = cluster.table("cloud");
-        Reader limits = new Reader("cluster.machine_limits.", Fields.asMap(cluster.m.get("machine_limits")));
+        Reader workers = cluster.table("workers");
+        Reader state = cluster.table("state");
+        Reader next = state.fields.get("next") == null ? new Reader("", Map.of()) : state.table("next");
+        double valueKb = state.positive("value_kb");
+        Reader cloud = cluster.table("cloud");
+        Reader machineLimits =
+                new Reader("cluster.machine_limits.", Fields.asMap(cluster.fields.get("machine_limits")));
         return new Settings(
                 root.text("label"),
                 root.text("zone"),
                 root.address("listen"),
                 root.address("cluster_listen"),
-                others,
-                ends.address("cloud"),
-                ends.address("state"),
+                peers,
+                endpoints.address("cloud"),
+                endpoints.address("state"),
                 cluster.number("skew_ms", 0, 0),
                 teams,
                 objectives,
-                w.positive("report_s"),
-                w.positive("lease_s"),
-                w.positive("gang_wait_s"),
-                w.positive("gang_peer_s"),
-                w.positive("cancel_s"),
-                next.least("rps", s.positive("rps")),
-                next.least("write_rps", s.positive("write_rps")),
+                workers.positive("report_s"),
+                workers.positive("lease_s"),
+                workers.positive("gang_wait_s"),
+                workers.positive("gang_peer_s"),
+                workers.positive("cancel_s"),
+                next.smallerOf("rps", state.positive("rps")),
+                next.smallerOf("write_rps", state.positive("write_rps")),
                 valueKb,
-                next.least("value_kb", valueKb),
-                (int) Math.min(s.number("txn_ops", 1, Double.NaN), next.number("txn_ops", 1, Double.MAX_VALUE)),
-                c.positive("rps"),
-                c.number("list_lag_s", 0, Double.NaN),
-                (int) limits.number("fd_limit", 16, 1024),
-                limits.number("mem_mb", 0, 0));
+                next.smallerOf("value_kb", valueKb),
+                (int) Math.min(state.number("txn_ops", 1, Double.NaN), next.number("txn_ops", 1, Double.MAX_VALUE)),
+                cloud.positive("rps"),
+                cloud.number("list_lag_s", 0, Double.NaN),
+                (int) machineLimits.number("fd_limit", 16, 1024),
+                machineLimits.number("mem_mb", 0, 0));
     }
 
     private static String firstLine(Exception e) {
-        String s = String.valueOf(e.getMessage());
-        int n = s.indexOf('\n');
-        return n < 0 ? s : s.substring(0, n);
+        String message = String.valueOf(e.getMessage());
+        int lineEnd = message.indexOf('\n');
+        return lineEnd < 0 ? message : message.substring(0, lineEnd);
     }
 
-    private record Reader(String path, Map<String, Object> m) {
-        Reader table(String k) throws InvalidSettingException {
-            if (!(m.get(k) instanceof Map)) {
-                throw new InvalidSettingException(path + k, "missing table");
+    private record Reader(String path, Map<String, Object> fields) {
+        Reader table(String name) throws InvalidSettingException {
+            if (!(fields.get(name) instanceof Map)) {
+                throw new InvalidSettingException(path + name, "missing or not a table");
             }
-            return new Reader(path + k + ".", Fields.asMap(m.get(k)));
+            return new Reader(path + name + ".", Fields.asMap(fields.get(name)));
         }
 
-        List<Object> list(String k, boolean required) throws InvalidSettingException {
-            Object o = m.get(k);
-            if (o == null && !required) {
+        List<Object> list(String name, boolean required) throws InvalidSettingException {
+            Object value = fields.get(name);
+            if (value == null && !required) {
                 return List.of();
             }
-            if (!(o instanceof List)) {
-                throw new InvalidSettingException(path + k, o == null ? "missing" : "not a list");
+            if (!(value instanceof List)) {
+                throw new InvalidSettingException(path + name, value == null ? "missing" : "not a list");
             }
-            return Fields.getList(m, k);
+            return Fields.getList(fields, name);
         }
 
-        String text(String k) throws InvalidSettingException {
-            if (!(m.get(k) instanceof String s) || s.isBlank()) {
-                throw new InvalidSettingException(path + k, "missing or not a text");
+        String text(String name) throws InvalidSettingException {
+            if (!(fields.get(name) instanceof String text) || text.isBlank()) {
+                throw new InvalidSettingException(path + name, "missing or not a non-blank string");
             }
-            return s;
+            return text;
         }
 
-        String address(String k) throws InvalidSettingException {
-            String s = text(k);
-            int colon = s.lastIndexOf(':');
+        String address(String name) throws InvalidSettingException {
+            String address = text(name);
+            int colon = address.lastIndexOf(':');
             try {
-                int port = Integer.parseInt(s.substring(colon + 1));
+                int port = Integer.parseInt(address.substring(colon + 1));
                 if (colon > 0 && port > 0 && port < 65536) {
-                    return s;
+                    return address;
                 }
             } catch (NumberFormatException e) {
                 // reported below
             }
-            throw new InvalidSettingException(path + k, "not an address of the form 10.0.0.1:8080");
+            throw new InvalidSettingException(path + name, "not an address of the form 10.0.0.1:8080");
         }
 
-        double positive(String k) throws InvalidSettingException {
-            double d = number(k, 0, Double.NaN);
-            if (d <= 0) {
-                throw new InvalidSettingException(path + k, "must be above 0");
+        double positive(String name) throws InvalidSettingException {
+            double number = number(name, 0, Double.NaN);
+            if (number <= 0) {
+                throw new InvalidSettingException(path + name, "must be above 0");
             }
-            return d;
+            return number;
         }
 
-        /** The smaller of this number, if it is there, and {@code now}. */
-        double least(String k, double now) throws InvalidSettingException {
-            return m.get(k) == null ? now : Math.min(now, positive(k));
+        /**
+         * Returns the smaller one of {@code currentLimit} and the field's number, or {@code currentLimit} if the field
+         * is missing.
+         */
+        double smallerOf(String name, double currentLimit) throws InvalidSettingException {
+            return fields.get(name) == null ? currentLimit : Math.min(currentLimit, positive(name));
         }
 
-        /** A number of at least {@code least}; {@code def} NaN makes it required. */
-        double number(String k, double least, double def) throws InvalidSettingException {
-            Object o = m.get(k);
-            if (o == null && !Double.isNaN(def)) {
-                return def;
+        /** Returns a number of at least {@code min}. If {@code defaultValue} is {@code NaN}, the field is required. */
+        double number(String name, double min, double defaultValue) throws InvalidSettingException {
+            Object value = fields.get(name);
+            if (value == null && !Double.isNaN(defaultValue)) {
+                return defaultValue;
             }
-            if (!(o instanceof Number n)) {
-                throw new InvalidSettingException(path + k, o == null ? "missing" : "not a number");
+            if (!(value instanceof Number number)) {
+                throw new InvalidSettingException(path + name, value == null ? "missing" : "not a number");
             }
-            double d = n.doubleValue();
-            if (!Double.isFinite(d) || d < least) {
-                throw new InvalidSettingException(path + k, "must be at least " + least);
+            double checked = number.doubleValue();
+            if (!Double.isFinite(checked) || checked < min) {
+                throw new InvalidSettingException(path + name, "must be at least " + min);
             }
-            return d;
+            return checked;
         }
     }
 }
--- a/src/main/java/org/mountlug/settings/SettingsSection.java
+++ b/src/main/java/org/mountlug/settings/SettingsSection.java
@@ -4,16 +4,19 @@
 import java.util.Set;
 import org.mountlug.wire.Fields;
 
-/** One section of the operators' file: each field is looked up by name, checked, and named in full if it is wrong. */
+/**
+ * One section of the operators' file. Each field is looked up by name and checked; an error has the field's full name.
+ */
 record SettingsSection(String path, Map<String, Object> values) {
-    /** A section in which no other fields than these may stand. */
-    static SettingsSection of(String path, Object section, Set<String> known) throws Settings.InvalidSettingException {
+    /** Returns a section after checking that it has no fields but the known ones. */
+    static SettingsSection of(String path, Object section, Set<String> knownFields)
+            throws Settings.InvalidSettingException {
         if (!(section instanceof Map)) {
             throw new Settings.InvalidSettingException(path, "must be a map");
         }
         SettingsSection fields = new SettingsSection(path, Fields.asMap(section));
         for (Object name : fields.values.keySet()) {
-            if (!known.contains(name)) {
+            if (!knownFields.contains(name)) {
                 throw fields.invalid(String.valueOf(name), "unknown field");
             }
         }
@@ -24,55 +27,55 @@
         return new Settings.InvalidSettingException(path.isEmpty() ? field : path + "." + field, problem);
     }
 
-    /** The field as it was read, or null. */
+    /** Returns the value of a field as it was parsed, or null. */
     Object value(String field) {
         return values.get(field);
     }
 
-    /** A number within these bounds, or the default if the field is missing. */
-    double number(String field, double least, double most, double def) throws Settings.InvalidSettingException {
+    /** Returns a number within these bounds, or the default if the field is missing. */
+    double number(String field, double min, double max, double defaultValue) throws Settings.InvalidSettingException {
         Object value = values.get(field);
         if (value == null) {
-            return def;
+            return defaultValue;
         }
-        if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
+        if (value instanceof Number number && number.doubleValue() >= min && number.doubleValue() <= max) {
             return number.doubleValue();
         }
-        throw invalid(field, "must be a number from " + least + " to " + most);
+        throw invalid(field, "must be a number from " + min + " to " + max);
     }
 
-    /** A whole number within these bounds, or the default if the field is missing. */
-    int integer(String field, int least, int most, int def) throws Settings.InvalidSettingException {
-        double number = number(field, least, most, def);
+    /** Returns a whole number within these bounds, or the default if the field is missing. */
+    int integer(String field, int min, int max, int defaultValue) throws Settings.InvalidSettingException {
+        double number = number(field, min, max, defaultValue);
         if (number != Math.rint(number)) {
             throw invalid(field, "must be a whole number");
         }
         return (int) number;
     }
 
-    /** True or false, or the default if the field is missing. */
-    boolean bool(String field, boolean def) throws Settings.InvalidSettingException {
+    /** Returns a boolean, or the default if the field is missing. */
+    boolean bool(String field, boolean defaultValue) throws Settings.InvalidSettingException {
         Object value = values.get(field);
         if (value == null) {
-            return def;
+            return defaultValue;
         }
-        if (value instanceof Boolean is) {
-            return is;
+        if (value instanceof Boolean flag) {
+            return flag;
         }
         throw invalid(field, "must be true or false");
     }
 
-    /** One of these words, or the first if the field is missing. */
-    String choice(String field, String... words) throws Settings.InvalidSettingException {
+    /** Returns one of these choices, or the first one if the field is missing. */
+    String choice(String field, String... choices) throws Settings.InvalidSettingException {
         Object value = values.get(field);
         if (value == null) {
-            return words[0];
+            return choices[0];
         }
-        for (String word : words) {
-            if (word.equals(value)) {
-                return word;
+        for (String choice : choices) {
+            if (choice.equals(value)) {
+                return choice;
             }
         }
-        throw invalid(field, "must be one of " + String.join(", ", words));
+        throw invalid(field, "must be one of " + String.join(", ", choices));
     }
 }
--- a/src/main/java/org/mountlug/settings/ZoneSettingsReader.java
+++ b/src/main/java/org/mountlug/settings/ZoneSettingsReader.java
@@ -13,7 +13,7 @@
 final class ZoneSettingsReader {
     private static final String SECTION = "zones";
     private static final String RAMP = "zones.ramp";
-    private static final Set<String> KNOWN = Set.of(
+    private static final Set<String> KNOWN_FIELDS = Set.of(
             "enabled",
             "displacement",
             "least_machines",
@@ -26,36 +26,40 @@
             "return_after_most_s",
             "calm_s",
             "ramp");
-    private static final Set<String> KNOWN_OF_RAMP = Set.of("start_share", "grow_share", "downloads_share");
-    private static final double SHARE_LEAST = 0.01;
-    private static final double TIME_LEAST_S = 0.1;
-    private static final double TIME_MOST_S = 3600;
-    private static final int MACHINES_MOST = 1_000_000;
+    private static final Set<String> KNOWN_RAMP_FIELDS = Set.of("start_share", "grow_share", "downloads_share");
+    private static final double MIN_SHARE = 0.01;
+    private static final double MIN_TIME_S = 0.1;
+    private static final double MAX_TIME_S = 3600;
+    private static final int MAX_MACHINES = 1_000_000;
 
     private ZoneSettingsReader() {}
 
-    /** Reads the section; without one, zones are not tracked. */
+    /** Reads the section, which may be null; without it zones are not tracked. */
     static ZoneSettings read(Object section) throws Settings.InvalidSettingException {
         if (section == null) {
             return ZoneSettings.disabled();
         }
-        SettingsSection fields = SettingsSection.of(SECTION, section, KNOWN);
+        SettingsSection fields = SettingsSection.of(SECTION, section, KNOWN_FIELDS);
         ZoneThresholds defaults = ZoneThresholds.defaults();
         ZoneThresholds thresholds = new ZoneThresholds(
-                fields.integer("least_machines", 1, MACHINES_MOST, defaults.minMachines()),
-                fields.number("suspect_share", SHARE_LEAST, 1, defaults.suspectShare()),
-                fields.number("lost_share", SHARE_LEAST, 1, defaults.lostShare()),
+                fields.integer("least_machines", 1, MAX_MACHINES, defaults.minMachines()),
+                fields.number("suspect_share", MIN_SHARE, 1, defaults.suspectShare()),
+                fields.number("lost_share", MIN_SHARE, 1, defaults.lostShare()),
                 fields.number("clear_share", 0, 1, defaults.clearShare()),
-                fields.number("return_share", SHARE_LEAST, 1, defaults.returnShare()),
-                fields.number("lost_after_s", TIME_LEAST_S, TIME_MOST_S, defaults.lostAfterS()),
-                fields.number("return_after_s", TIME_LEAST_S, TIME_MOST_S, defaults.returnAfterS()),
-                fields.number("return_after_most_s", TIME_LEAST_S, TIME_MOST_S, defaults.maxReturnAfterS()),
-                fields.number("calm_s", TIME_LEAST_S, TIME_MOST_S, defaults.lossExpiryS()));
-        checkOrder(thresholds);
-        return new ZoneSettings(fields.bool("enabled", true), classes(fields), thresholds, ramp(fields.value("ramp")));
+                fields.number("return_share", MIN_SHARE, 1, defaults.returnShare()),
+                fields.number("lost_after_s", MIN_TIME_S, MAX_TIME_S, defaults.lostAfterS()),
+                fields.number("return_after_s", MIN_TIME_S, MAX_TIME_S, defaults.returnAfterS()),
+                fields.number("return_after_most_s", MIN_TIME_S, MAX_TIME_S, defaults.maxReturnAfterS()),
+                fields.number("calm_s", MIN_TIME_S, MAX_TIME_S, defaults.lossExpiryS()));
+        checkThresholdOrder(thresholds);
+        return new ZoneSettings(
+                fields.bool("enabled", true),
+                readDisplacementClasses(fields),
+                thresholds,
+                readRamp(fields.value("ramp")));
     }
 
-    private static void checkOrder(ZoneThresholds thresholds) throws Settings.InvalidSettingException {
+    private static void checkThresholdOrder(ZoneThresholds thresholds) throws Settings.InvalidSettingException {
         if (thresholds.clearShare() >= thresholds.suspectShare()) {
             throw new Settings.InvalidSettingException("zones.clear_share", "must be below zones.suspect_share");
         }
@@ -63,7 +67,7 @@
             throw new Settings.InvalidSettingException("zones.suspect_share", "must be below zones.lost_share");
         }
         if (thresholds.returnShare() <= 1 - thresholds.lostShare()) {
-            throw new Settings.InvalidSettingException("zones.return_share", "must be above 1 less zones.lost_share");
+            throw new Settings.InvalidSettingException("zones.return_share", "must be above 1 - zones.lost_share");
         }
         if (thresholds.returnAfterS() > thresholds.maxReturnAfterS()) {
             throw new Settings.InvalidSettingException(
@@ -71,40 +75,41 @@
         }
     }
 
-    private static List<String> classes(SettingsSection fields) throws Settings.InvalidSettingException {
+    private static List<String> readDisplacementClasses(SettingsSection fields)
+            throws Settings.InvalidSettingException {
         Object value = fields.value("displacement");
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof List<?> list)) {
-            throw fields.invalid("displacement", "must be a list of classes");
+            throw fields.invalid("displacement", "must be a list of job classes");
         }
         List<String> classes = new ArrayList<>();
         for (Object element : list) {
             if (!(element instanceof String name) || name.isBlank()) {
-                throw fields.invalid("displacement", "must be a list of classes");
+                throw fields.invalid("displacement", "must be a list of job classes");
             }
             if (classes.contains(name)) {
-                throw fields.invalid("displacement", name + " stands twice");
+                throw fields.invalid("displacement", name + " is listed twice");
             }
             classes.add(name);
         }
         return classes;
     }
 
-    private static RampSettings ramp(Object section) throws Settings.InvalidSettingException {
+    private static RampSettings readRamp(Object section) throws Settings.InvalidSettingException {
         RampSettings defaults = RampSettings.defaults();
         if (section == null) {
             return defaults;
         }
-        SettingsSection fields = SettingsSection.of(RAMP, section, KNOWN_OF_RAMP);
+        SettingsSection fields = SettingsSection.of(RAMP, section, KNOWN_RAMP_FIELDS);
         return new RampSettings(
-                fields.number("start_share", SHARE_LEAST, 1, defaults.startShare()),
-                fields.number("grow_share", SHARE_LEAST, 1, defaults.growShare()),
-                fields.number("downloads_share", SHARE_LEAST, 1, defaults.downloadsShare()));
+                fields.number("start_share", MIN_SHARE, 1, defaults.startShare()),
+                fields.number("grow_share", MIN_SHARE, 1, defaults.growShare()),
+                fields.number("downloads_share", MIN_SHARE, 1, defaults.downloadsShare()));
     }
 
-    /** The section as it is in force, for operators to read. */
+    /** Returns the effective values of the section by field, for operators to read. */
     static Map<String, Object> effectiveValues(ZoneSettings zones) {
         return Fields.orderedMap(
                 "enabled", zones.enabled(),
--- a/src/main/java/org/mountlug/settings/package-info.java
+++ b/src/main/java/org/mountlug/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's settings and the operators' own, checked. */
+/** Reads and checks the platform's settings and the operators' settings. */
 package org.mountlug.settings;
--- a/src/test/java/org/mountlug/settings/SettingsTest.java
+++ b/src/test/java/org/mountlug/settings/SettingsTest.java
@@ -102,7 +102,7 @@
         "1200, 205, 112, sockets for",
         "200, 360, 112, cluster.machine_limits.fd_limit",
         "2509, 40, 112, cluster.machine_limits.mem_mb",
-        "2509, 128, 112, may pass",
+        "2509, 128, 112, may exceed",
         "2509, 0, 112, sockets for"
     })
     @SuppressWarnings("unchecked")
