--- a/src/test/java/org/mountlug/core/admit/AdmissionPropertiesTest.java
+++ b/src/test/java/org/mountlug/core/admit/AdmissionPropertiesTest.java
@@ -14,145 +14,163 @@
 import net.jqwik.api.constraints.Size;
 import org.mountlug.Constants;
 
-/** Generated histories of tables, clocks and submissions over the pure code; seeds are fixed, a failure names its own. */
+/** Property tests with generated tables, clocks and submissions. Seeds are fixed, and a failure reports its seed. */
 class AdmissionPropertiesTest {
     private static final String SEED = "20261202";
     private static final long START_MS = 1_800_000_000_000L;
     private static final QueueId QUEUE = new QueueId("a", "l");
 
-    private static CursorSchedule starting(long advance) {
+    private static CursorSchedule scheduleWithConstantAdvance(long advance) {
         return CursorSchedule.starting(START_MS, new long[] {advance, advance, advance, advance, advance, advance});
     }
 
-    /** Whatever pace a schedule is extended by, and however late, a turn before its end stays where it is. */
+    /**
+     * A turn before the end of a schedule does not move, at whatever rate and however late the schedule is extended.
+     */
     @Property(seed = SEED, tries = 300)
-    void aTurnBeforeTheEndNeverMoves(
+    void turnsBeforeTheEndNeverMove(
             @ForAll @Size(min = 1, max = 30) List<@IntRange(max = 400_000) Integer> advances,
             @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 200, max = 20_000) Integer> pausesMs,
-            @ForAll @IntRange(max = HashRing.SLOTS - 1) int place) {
-        CursorSchedule schedule = starting(50_000);
+            @ForAll @IntRange(max = HashRing.SLOTS - 1) int slot) {
+        CursorSchedule schedule = scheduleWithConstantAdvance(50_000);
         long nowMs = START_MS;
-        Map<Long, Long> told = new HashMap<>();
+        Map<Long, Long> finalTurnsByTime = new HashMap<>();
         for (int i = 0; i < Math.min(advances.size(), pausesMs.size()); i++) {
-            long turnMs = schedule.nextTurnMs(place, nowMs);
+            long turnMs = schedule.nextTurnMs(slot, nowMs);
             if (turnMs <= schedule.endMs()) {
-                told.put(nowMs, turnMs);
-                assertTrue(schedule.passes(place, nowMs, turnMs), "passed at its turn");
-                assertTrue(!schedule.passes(place, nowMs, turnMs - 1), "and not before");
+                finalTurnsByTime.put(nowMs, turnMs);
+                assertTrue(schedule.passes(slot, nowMs, turnMs), "the cursor must pass the slot by its turn");
+                assertTrue(
+                        !schedule.passes(slot, nowMs, turnMs - 1), "the cursor must not pass the slot before its turn");
             }
             nowMs += pausesMs.get(i);
-            long position = schedule.positionAt(nowMs);
+            long positionBefore = schedule.positionAt(nowMs);
             schedule =
                     schedule.extended(nowMs, nowMs + Constants.Admission.SCHEDULE_HORIZON_MS, advances.get(i), 30_000);
-            long moved = schedule.positionAt(nowMs) - position;
-            assertEquals(0, moved % HashRing.SLOTS, "the cursor is where it was, however late it is extended");
-            for (Map.Entry<Long, Long> entry : told.entrySet()) {
+            long positionChange = schedule.positionAt(nowMs) - positionBefore;
+            assertEquals(
+                    0, positionChange % HashRing.SLOTS, "extending a schedule must not move the cursor's current slot");
+            for (Map.Entry<Long, Long> entry : finalTurnsByTime.entrySet()) {
                 if (entry.getKey() > nowMs - 20_000) {
-                    assertEquals(entry.getValue(), schedule.nextTurnMs(place, entry.getKey()));
+                    assertEquals(entry.getValue(), schedule.nextTurnMs(slot, entry.getKey()));
                 }
             }
         }
     }
 
     /**
-     * Whoever is told a final turn by one controller and comes back when told is admitted by any other, whose clock differs within
-     * the skew, whatever tables were published meanwhile, by this leader or the next; and controllers with the same
-     * table and clock say the same.
+     * A submission that gets a final turn from one controller and is repeated at that turn is admitted by any other
+     * one, whose clock differs by at most the skew, whatever tables have been published meanwhile by the same leader
+     * or its successor. Controllers with the same table and clock decide alike.
      */
     @Property(seed = SEED, tries = 300)
-    void whoeverComesBackAtItsTurnIsAdmitted(
+    void submissionRepeatedAtFinalTurnIsAdmitted(
             @ForAll @Size(min = 4, max = 20) List<@IntRange(min = 1, max = 60_000) Integer> advances,
             @ForAll @LongRange(min = -25, max = 25) long skewMs,
-            @ForAll @LongRange(max = 900) long lateMs,
-            @ForAll @IntRange(max = 999_999) int number) {
+            @ForAll @LongRange(max = 900) long delayMs,
+            @ForAll @IntRange(max = 999_999) int jobNumber) {
         AdmissionGate.Deployment deployment = new AdmissionGate.Deployment(Map.of("a", 1.0), 1, 1000, 25);
-        AdmissionGate first = new AdmissionGate(AdmissionSettings.defaults(), deployment);
-        AdmissionGate twin = new AdmissionGate(AdmissionSettings.defaults(), deployment);
-        AdmissionGate other = new AdmissionGate(AdmissionSettings.defaults(), deployment);
-        String job = "wk-" + (100_000 + number);
-        CursorSchedule schedule = starting(advances.get(0));
-        long backMs = Long.MAX_VALUE;
-        for (int second = 0; second < advances.size() && backMs == Long.MAX_VALUE; second++) {
+        AdmissionGate firstGate = new AdmissionGate(AdmissionSettings.defaults(), deployment);
+        AdmissionGate identicalGate = new AdmissionGate(AdmissionSettings.defaults(), deployment);
+        AdmissionGate otherGate = new AdmissionGate(AdmissionSettings.defaults(), deployment);
+        String jobId = "wk-" + (100_000 + jobNumber);
+        CursorSchedule schedule = scheduleWithConstantAdvance(advances.get(0));
+        long repeatedAtMs = Long.MAX_VALUE;
+        for (int second = 0; second < advances.size() && repeatedAtMs == Long.MAX_VALUE; second++) {
             long nowMs = START_MS + second * 1000L;
             schedule = schedule.extended(
                     nowMs, nowMs + Constants.Admission.SCHEDULE_HORIZON_MS, advances.get(second), 10_000);
             AdmissionTable table = new AdmissionTable(nowMs, 100, Map.of(QUEUE, schedule));
-            first.updateTable(table, second);
-            twin.updateTable(table, second);
-            AdmissionDecision decision = first.decide(QUEUE, job, nowMs, second);
-            assertEquals(decision, twin.decide(QUEUE, job, nowMs, second));
+            firstGate.updateTable(table, second);
+            identicalGate.updateTable(table, second);
+            AdmissionDecision decision = firstGate.decide(QUEUE, jobId, nowMs, second);
+            assertEquals(decision, identicalGate.decide(QUEUE, jobId, nowMs, second));
             if (decision instanceof AdmissionDecision.Defer defer && defer.turnIsFinal()) {
-                backMs = nowMs + defer.retryAfterS() * 1000L;
+                repeatedAtMs = nowMs + defer.retryAfterS() * 1000L;
             }
         }
-        if (backMs == Long.MAX_VALUE) {
+        if (repeatedAtMs == Long.MAX_VALUE) {
             return;
         }
         int step = 0;
-        for (long atMs = START_MS + 20_000; schedule.endMs() < backMs + 2000 || atMs < backMs; atMs += 1000) {
+        for (long atMs = START_MS + 20_000;
+                schedule.endMs() < repeatedAtMs + 2000 || atMs < repeatedAtMs;
+                atMs += 1000) {
             schedule = schedule.extended(
-                    Math.min(atMs, backMs), backMs + 2000, advances.get(step++ % advances.size()), 30_000);
+                    Math.min(atMs, repeatedAtMs), repeatedAtMs + 2000, advances.get(step++ % advances.size()), 30_000);
         }
-        other.updateTable(new AdmissionTable(backMs - 500, 100, Map.of(QUEUE, schedule)), 0);
-        AdmissionDecision back = other.decide(QUEUE, job, backMs + lateMs + 2 * skewMs, 0);
-        assertEquals(new AdmissionDecision.Admit(), back);
+        otherGate.updateTable(new AdmissionTable(repeatedAtMs - 500, 100, Map.of(QUEUE, schedule)), 0);
+        AdmissionDecision decisionOnRepetition = otherGate.decide(QUEUE, jobId, repeatedAtMs + delayMs + 2 * skewMs, 0);
+        assertEquals(new AdmissionDecision.Admit(), decisionOnRepetition);
     }
 
-    /** Max-min fairness: nobody gets more than it asks for, nothing is wasted, and who gets less has at least its share. */
+    /**
+     * Max-min fairness: no key gets more than it demands, no capacity stays unused while demand is unmet, and keys
+     * with unmet demand get equal shares by weight that no other key exceeds.
+     */
     @Property(seed = SEED, tries = 500)
-    void partsAreMaxMinFair(
+    void sharesAreMaxMinFair(
             @ForAll @Size(min = 1, max = 8) List<@IntRange(max = 50) Integer> demands,
             @ForAll @Size(min = 8, max = 8) List<@IntRange(min = 1, max = 5) Integer> weights,
             @ForAll @IntRange(max = 100) int capacity) {
-        Map<Integer, Double> asked = new HashMap<>();
+        Map<Integer, Double> demandByKey = new HashMap<>();
         for (int i = 0; i < demands.size(); i++) {
-            asked.put(i, (double) demands.get(i));
+            demandByKey.put(i, (double) demands.get(i));
         }
-        Map<Integer, Double> parts = FairShares.divide(capacity, asked, i -> weights.get(i));
-        double total = parts.values().stream().mapToDouble(Double::doubleValue).sum();
-        double wanted = asked.values().stream().mapToDouble(Double::doubleValue).sum();
-        assertEquals(Math.min(capacity, wanted), total, 1e-6);
-        List<Double> unmet = new ArrayList<>();
-        parts.forEach((i, part) -> {
-            assertTrue(part <= asked.get(i) + 1e-9);
-            if (part < asked.get(i) - 1e-9) {
-                unmet.add(part / weights.get(i));
+        Map<Integer, Double> shares = FairShares.divide(capacity, demandByKey, i -> weights.get(i));
+        double totalShares =
+                shares.values().stream().mapToDouble(Double::doubleValue).sum();
+        double totalDemand =
+                demandByKey.values().stream().mapToDouble(Double::doubleValue).sum();
+        assertEquals(Math.min(capacity, totalDemand), totalShares, 1e-6);
+        List<Double> unsatisfiedPerWeight = new ArrayList<>();
+        shares.forEach((key, share) -> {
+            assertTrue(share <= demandByKey.get(key) + 1e-9);
+            if (share < demandByKey.get(key) - 1e-9) {
+                unsatisfiedPerWeight.add(share / weights.get(key));
             }
         });
-        double most = unmet.stream().mapToDouble(Double::doubleValue).max().orElse(0);
-        parts.forEach((i, part) -> assertTrue(
-                unmet.isEmpty() || part / weights.get(i) <= most + 1e-9, "no content one has more by weight"));
-        unmet.forEach(perWeight -> assertEquals(most, perWeight, 1e-9));
+        double maxPerWeight = unsatisfiedPerWeight.stream()
+                .mapToDouble(Double::doubleValue)
+                .max()
+                .orElse(0);
+        shares.forEach((key, share) -> assertTrue(
+                unsatisfiedPerWeight.isEmpty() || share / weights.get(key) <= maxPerWeight + 1e-9,
+                "no satisfied key may have more by weight"));
+        unsatisfiedPerWeight.forEach(perWeight -> assertEquals(maxPerWeight, perWeight, 1e-9));
     }
 
-    /** Whatever others take, a queue that is asked within its part always finds a token; and all stay within rate and bursts. */
+    /**
+     * A queue within its share always gets a token, whatever the other queues take, and all queues together stay
+     * within the rate and the bursts.
+     */
     @Property(seed = SEED, tries = 300)
-    void aQueueWithinItsPartAlwaysFindsAToken(
+    void queueWithinItsShareAlwaysGetsToken(
             @ForAll @Size(min = 50, max = 300) List<@IntRange(max = 30) Integer> floods,
             @ForAll @IntRange(min = 1, max = 4) int weight,
-            @ForAll boolean ofTheFloodsTeam) {
+            @ForAll boolean sameTeamAsFlood) {
         double ratePerS = 6;
         TeamTokenBuckets buckets = new TeamTokenBuckets(Map.of("a", 1.0, "b", (double) weight), ratePerS, 1, 2);
-        QueueId quiet = ofTheFloodsTeam ? new QueueId("a", "m") : new QueueId("b", "l");
-        double partPerS = ofTheFloodsTeam ? ratePerS / (1 + weight) / 2 : ratePerS * weight / (1 + weight);
-        double nowS = 1 / partPerS;
-        double nextS = nowS + 1 / partPerS;
+        QueueId quietQueue = sameTeamAsFlood ? new QueueId("a", "m") : new QueueId("b", "l");
+        double sharePerS = sameTeamAsFlood ? ratePerS / (1 + weight) / 2 : ratePerS * weight / (1 + weight);
+        double nowS = 1 / sharePerS;
+        double nextSubmissionS = nowS + 1 / sharePerS;
         buckets.refill(ratePerS, 0);
-        buckets.tryAcquire(quiet, 0); // a class is known from its first submission on
-        int taken = 1;
+        buckets.tryAcquire(quietQueue, 0); // a job class gets its bucket with its first submission
+        int acquired = 1;
         for (int flood : floods) {
             nowS += 0.1;
             buckets.refill(ratePerS, nowS);
             for (int i = 0; i < flood; i++) {
-                taken += buckets.tryAcquire(QUEUE, i % 2) ? 1 : 0;
+                acquired += buckets.tryAcquire(QUEUE, i % 2) ? 1 : 0;
             }
-            while (nextS <= nowS) {
-                assertTrue(buckets.tryAcquire(quiet, 0), quiet + " at " + nowS);
-                taken++;
-                nextS += 1 / partPerS;
+            while (nextSubmissionS <= nowS) {
+                assertTrue(buckets.tryAcquire(quietQueue, 0), "no token for " + quietQueue + " at " + nowS);
+                acquired++;
+                nextSubmissionS += 1 / sharePerS;
             }
         }
-        double bursts = 2 + Math.max(2, ratePerS * weight / (1 + weight)) + 3 * ratePerS;
-        assertTrue(taken <= ratePerS * nowS + bursts + 1, taken + " in " + nowS);
+        double burstTokens = 2 + Math.max(2, ratePerS * weight / (1 + weight)) + 3 * ratePerS;
+        assertTrue(acquired <= ratePerS * nowS + burstTokens + 1, acquired + " tokens in seconds: " + nowS);
     }
 }
--- a/src/test/java/org/mountlug/core/admit/package-info.java
+++ b/src/test/java/org/mountlug/core/admit/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of fair admission: the decisions alone, by cases and by generated histories. */
+/** Tests of fair admission: the decisions in isolation, by cases and by generated histories. */
 package org.mountlug.core.admit;
