--- a/src/test/java/org/mountlug/store/AdmissionCodecTest.java
+++ b/src/test/java/org/mountlug/store/AdmissionCodecTest.java
@@ -16,7 +16,10 @@
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Json;
 
-/** The stored admission table: read back as it was, within the value limit, and without records left over. */
+/**
+ * Tests that the admission table is decoded as it was encoded, within the value limit and without records of earlier
+ * tables.
+ */
 class AdmissionCodecTest {
     private static final long NOW_MS = 1_900_000_000_000L;
 
@@ -29,29 +32,30 @@
         return new AdmissionTable(issuedMs, 5.9375, schedules);
     }
 
-    @ParameterizedTest(name = "{0} queues in {1} characters a record")
+    @ParameterizedTest(name = "{0} queues, {1} characters per record: {2} records")
     @CsvSource({"0, 1700, 1", "1, 1700, 1", "10, 1700, 1", "64, 1700, 7", "64, 6900, 2"})
-    void whatIsWrittenIsReadBack(int queues, int chars, int records) throws IOException {
+    void tableSurvivesEncoding(int queues, int maxChars, int expectedRecords) throws IOException {
         AdmissionTable table = table(NOW_MS, queues);
-        List<Map<String, Object>> read = new ArrayList<>();
-        for (Map<String, Object> record : AdmissionCodec.write(table, chars)) {
-            assertTrue(Json.length(record) <= chars, "within the value limit");
-            read.add(Cbor.readMap(Cbor.write(record)));
+        List<Map<String, Object>> storedRecords = new ArrayList<>();
+        for (Map<String, Object> record : AdmissionCodec.write(table, maxChars)) {
+            assertTrue(Json.length(record) <= maxChars, "the record must be within the value limit");
+            storedRecords.add(Cbor.readMap(Cbor.write(record)));
         }
-        assertEquals(records, read.size());
-        read.addAll(AdmissionCodec.write(table(NOW_MS - 1000, 64), 1700)); // left over from a larger table
-        read.add(Map.of("t", "text", "q", 5L));
-        assertEquals(table, AdmissionCodec.read(read));
+        assertEquals(expectedRecords, storedRecords.size());
+        storedRecords.addAll(
+                AdmissionCodec.write(table(NOW_MS - 1000, 64), 1700)); // remain from an earlier table with more records
+        storedRecords.add(Map.of("t", "text", "q", 5L));
+        assertEquals(table, AdmissionCodec.read(storedRecords));
     }
 
     @ParameterizedTest(name = "positions [{0}]")
     @CsvSource({"5", "'-3 5'", "x 5", "''"})
-    void aScheduleThatNobodyCanReadLeavesItsQueueOpen(String positions) {
-        List<Object> list = new ArrayList<>();
+    void queueWithUnreadableScheduleIsNotLimited(String positions) {
+        List<Object> encodedPositions = new ArrayList<>();
         for (String position : positions.split(" ")) {
-            list.add(position.matches("-?\\d+") ? (Object) Long.valueOf(position) : position);
+            encodedPositions.add(position.matches("-?\\d+") ? (Object) Long.valueOf(position) : position);
         }
-        Map<String, Object> queue = Map.of("t", "a", "l", "b", "s", 7L, "p", list);
+        Map<String, Object> queue = Map.of("t", "a", "l", "b", "s", 7L, "p", encodedPositions);
         assertEquals(
                 new AdmissionTable(NOW_MS, 0, Map.of()),
                 AdmissionCodec.read(List.of(Map.of("t", NOW_MS, "q", List.of(queue)))));
--- a/src/test/java/org/mountlug/store/JobRecordCodecTest.java
+++ b/src/test/java/org/mountlug/store/JobRecordCodecTest.java
@@ -19,38 +19,41 @@
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Json;
 
-/** Records survive the trip to the state service, and the largest job's fits the value limit. */
+/** Tests that records are decoded as they were encoded, and that those of the largest job fit into the value limit. */
 class JobRecordCodecTest {
-    private static Job trip(Job j) throws IOException {
-        return JobRecordCodec.read(j.spec.id(), Cbor.readMap(Cbor.write(JobRecordCodec.write(j, "7.1"))), 9, 0);
+    private static Job encodeAndDecode(Job job) throws IOException {
+        return JobRecordCodec.read(job.spec.id(), Cbor.readMap(Cbor.write(JobRecordCodec.write(job, "7.1"))), 9, 0);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 64, 1000})
-    void progressSurvives(int tasks) throws IOException {
-        Cluster c = Fixtures.cluster();
-        Machine m = Fixtures.addMachine(c, "n-1", "small", "a");
-        Job j = Fixtures.addJob(c, Fixtures.array("wk-000001", tasks));
-        for (int t = 0; t < tasks; t++) {
-            if (t % 3 != 1) {
-                j.doneTasks.set(t);
+    void progressSurvivesEncoding(int tasks) throws IOException {
+        Cluster cluster = Fixtures.cluster();
+        Machine machine = Fixtures.addMachine(cluster, "n-1", "small", "a");
+        Job job = Fixtures.addJob(cluster, Fixtures.array("wk-000001", tasks));
+        for (int task = 0; task < tasks; task++) {
+            if (task % 3 != 1) {
+                job.doneTasks.set(task);
             } else {
-                c.place(j, t, ++j.lastAttempt, m, 0);
+                cluster.place(job, task, ++job.lastAttempt, machine, 0);
             }
         }
-        j.failuresByTask.put(0, 4);
-        Job k = trip(j);
-        assertEquals(j.doneTasks, k.doneTasks);
-        assertEquals(j.placements.keySet(), k.placements.keySet());
-        assertEquals(j.lastAttempt, k.lastAttempt);
-        assertEquals(4, k.failuresByTask.get(0));
-        assertEquals(j.spec.request(), k.spec.request());
-        k.placements.values().forEach(p -> assertEquals("a", p.zone));
-        assertTrue(k.placements.values().stream().allMatch(p -> k.isDurable(p.task, p.version)));
+        job.failuresByTask.put(0, 4);
+        Job decoded = encodeAndDecode(job);
+        assertEquals(job.doneTasks, decoded.doneTasks);
+        assertEquals(job.placements.keySet(), decoded.placements.keySet());
+        assertEquals(job.lastAttempt, decoded.lastAttempt);
+        assertEquals(4, decoded.failuresByTask.get(0));
+        assertEquals(job.spec.request(), decoded.spec.request());
+        decoded.placements.values().forEach(p -> assertEquals("a", p.zone));
+        assertTrue(decoded.placements.values().stream().allMatch(p -> decoded.isDurable(p.task, p.version)));
     }
 
-    /** However tasks are placed within the room and end again, and whatever the machines, no record passes its limit. */
-    @ParameterizedTest(name = "{0} tasks, {1} to a machine, order of ends {2}")
+    /**
+     * No record exceeds the value limit, on whatever machines tasks are placed up to the number that the record can
+     * take, and in whatever order they end.
+     */
+    @ParameterizedTest(name = "{0} tasks, {1} per machine, ending tasks: {2}")
     @CsvSource({
         "350, 1, random",
         "350, 16, random",
@@ -62,77 +65,87 @@
         "100000, 12, random",
         "100000, 2, every other"
     })
-    void theRoomOfARecordIsNeverPassed(int tasks, int each, String order) throws IOException {
-        Random random = new Random(tasks + each);
-        Cluster c = Fixtures.cluster();
-        Job j = Fixtures.addJob(c, Fixtures.array("wk-000001", tasks));
-        int most = 0;
+    void recordNeverExceedsValueLimit(int tasks, int tasksPerMachine, String endingTasks) throws IOException {
+        Random random = new Random(tasks + tasksPerMachine);
+        Cluster cluster = Fixtures.cluster();
+        Job job = Fixtures.addJob(cluster, Fixtures.array("wk-000001", tasks));
+        int maxPlaced = 0;
         for (int round = 0; round < 60; round++) {
-            int room = c.remainingRecordTasks(j);
-            j.lastAttempt++;
-            Machine m = null;
-            for (int t = j.doneTasks.nextClearBit(0), k = 0; t < tasks && k < room; t++) {
-                if (j.doneTasks.get(t) || j.placements.containsKey(t)) {
+            int remainingTasks = cluster.remainingRecordTasks(job);
+            job.lastAttempt++;
+            Machine machine = null;
+            for (int task = job.doneTasks.nextClearBit(0), placed = 0;
+                    task < tasks && placed < remainingTasks;
+                    task++) {
+                if (job.doneTasks.get(task) || job.placements.containsKey(task)) {
                     continue;
                 }
-                if (k++ % each == 0) {
-                    m = new Machine(String.format("n-%06d", random.nextInt(1_000_000)), 0);
-                    m.zone = k % 3 == 0 ? "a" : "b";
-                    m.session = 1 + random.nextInt(30);
+                if (placed++ % tasksPerMachine == 0) {
+                    machine = new Machine(String.format("n-%06d", random.nextInt(1_000_000)), 0);
+                    machine.zone = placed % 3 == 0 ? "a" : "b";
+                    machine.session = 1 + random.nextInt(30);
                 }
-                c.place(j, t, j.lastAttempt, m, 0);
+                cluster.place(job, task, job.lastAttempt, machine, 0);
             }
-            most = Math.max(most, j.placements.size());
-            for (int t : j.placements.keySet().toIntArray()) {
-                if (order.equals("random") ? random.nextInt(4) != 0 : t % 2 == round % 2) {
+            maxPlaced = Math.max(maxPlaced, job.placements.size());
+            for (int task : job.placements.keySet().toIntArray()) {
+                if (endingTasks.equals("random") ? random.nextInt(4) != 0 : task % 2 == round % 2) {
                     continue;
                 }
-                j.placements.remove(t);
-                j.doneTasks.set(t);
+                job.placements.remove(task);
+                job.doneTasks.set(task);
             }
-            assertTrue(Json.length(JobRecordCodec.write(j, "999999.999999")) <= 8 * 1024);
-            Job k = trip(j);
-            assertEquals(j.doneTasks, k.doneTasks);
-            assertEquals(j.placements.keySet(), k.placements.keySet());
-            j.placements.forEach((t, p) -> {
-                Placement q = k.placements.get(t);
+            assertTrue(Json.length(JobRecordCodec.write(job, "999999.999999")) <= 8 * 1024);
+            Job decoded = encodeAndDecode(job);
+            assertEquals(job.doneTasks, decoded.doneTasks);
+            assertEquals(job.placements.keySet(), decoded.placements.keySet());
+            job.placements.forEach((task, placement) -> {
+                Placement decodedPlacement = decoded.placements.get(task);
                 assertEquals(
-                        List.of(p.machine, p.zone, p.session, p.attempt),
-                        List.of(q.machine, q.zone, q.session, q.attempt));
+                        List.of(placement.machine, placement.zone, placement.session, placement.attempt),
+                        List.of(
+                                decodedPlacement.machine,
+                                decodedPlacement.zone,
+                                decodedPlacement.session,
+                                decodedPlacement.attempt));
             });
-            JobRecordCodec.TaskCounts counts = JobRecordCodec.taskCounts(JobRecordCodec.write(j, "7.1"));
+            JobRecordCodec.TaskCounts counts = JobRecordCodec.taskCounts(JobRecordCodec.write(job, "7.1"));
             assertEquals(
-                    List.of(j.doneTasks.cardinality(), j.placements.size()), List.of(counts.done(), counts.placed()));
+                    List.of(job.doneTasks.cardinality(), job.placements.size()),
+                    List.of(counts.done(), counts.placed()));
         }
-        assertTrue(most >= Math.min(tasks, 120), "room for " + most);
+        assertTrue(maxPlaced >= Math.min(tasks, 120), "most tasks placed at the same time: " + maxPlaced);
     }
 
-    /** One value held the images of some 60 to 250 machines, and the next leader knew nothing of the others'. */
-    @ParameterizedTest(name = "{0} machines, {1} characters")
+    /**
+     * Guards against an image index in a single record, which held the images of only about 60 to 250 machines, so
+     * that the next leader did not have those of the others.
+     */
+    @ParameterizedTest(name = "{0} machines, {1} characters per shard: at most {2} shards")
     @CsvSource({"40, 1740, 1", "4000, 1740, 256", "4000, 6960, 64"})
-    void imagesOfAFleetTakeAsManyNotesAsTheyNeed(int count, int chars, int most) {
+    void imageIndexHasAsManyShardsAsNeeded(int machineCount, int maxChars, int maxShards) {
         List<Machine> machines = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < machineCount; i++) {
             Machine machine = new Machine(String.format("n-%06d", i), 0);
             machine.cachedImages.add("img-" + i % 12);
             machine.cachedImages.add("img-" + i % 7);
             machines.add(machine);
         }
-        List<Map<String, Object>> notes = ImageIndexCodec.write(machines, chars);
-        assertTrue(notes.size() <= most, notes.size() + " notes");
-        int noted = 0;
-        for (Map<String, Object> note : notes) {
-            assertTrue(Json.length(note) <= chars);
-            noted += note.size();
+        List<Map<String, Object>> shards = ImageIndexCodec.write(machines, maxChars);
+        assertTrue(shards.size() <= maxShards, shards.size() + " shards");
+        int listedMachines = 0;
+        for (Map<String, Object> shard : shards) {
+            assertTrue(Json.length(shard) <= maxChars);
+            listedMachines += shard.size();
         }
-        assertEquals(count, noted);
-        machines.get(count / 2).cachedImages.add("img-new");
-        List<Map<String, Object>> later = ImageIndexCodec.write(machines, chars);
-        assertEquals(notes.size(), later.size());
-        int changed = 0;
-        for (int i = 0; i < notes.size(); i++) {
-            changed += notes.get(i).equals(later.get(i)) ? 0 : 1;
+        assertEquals(machineCount, listedMachines);
+        machines.get(machineCount / 2).cachedImages.add("img-new");
+        List<Map<String, Object>> laterShards = ImageIndexCodec.write(machines, maxChars);
+        assertEquals(shards.size(), laterShards.size());
+        int changedShards = 0;
+        for (int i = 0; i < shards.size(); i++) {
+            changedShards += shards.get(i).equals(laterShards.get(i)) ? 0 : 1;
         }
-        assertEquals(1, changed, "a change is one write");
+        assertEquals(1, changedShards, "a new image on one machine must change one shard only");
     }
 }
--- a/src/test/java/org/mountlug/store/ProductionCompatibilityTest.java
+++ b/src/test/java/org/mountlug/store/ProductionCompatibilityTest.java
@@ -30,46 +30,47 @@
 import org.mountlug.wire.Json;
 
 /**
- * What the version in production wrote, byte for byte as its own codecs wrote it, is read; and what is written now
- * survives that it reads a record, drops what it does not know, and writes it back.
+ * Tests that records encoded by the production version's own codecs are read, and that records of this version survive
+ * a production leader, which reads a record, drops the fields it does not know, and writes it back.
  */
 public class ProductionCompatibilityTest {
-    static byte[] bytes(String name) throws IOException {
+    static byte[] fixtureBytes(String name) throws IOException {
         try (InputStream in = ProductionCompatibilityTest.class.getResourceAsStream("/production/" + name)) {
             return in.readAllBytes();
         }
     }
 
-    private static Job read(String name) throws IOException {
-        return JobRecordCodec.read("wk-000102", Cbor.readMap(bytes(name + ".cbor")), 9, 0);
+    private static Job readJobFixture(String name) throws IOException {
+        return JobRecordCodec.read("wk-000102", Cbor.readMap(fixtureBytes(name + ".cbor")), 9, 0);
     }
 
-    /** The fields that the version in production knows of a record, in its order; the same of a description. */
-    private static final List<String> KNOWN = List.of("s", "w", "x", "a", "d", "D", "mp", "z", "p", "e");
+    /** The fields of a record that the production version knows, in its order. */
+    private static final List<String> KNOWN_FIELDS = List.of("s", "w", "x", "a", "d", "D", "mp", "z", "p", "e");
 
-    private static final List<String> KNOWN_SPEC = List.of(
+    /** The fields of a specification that the production version knows, in its order. */
+    private static final List<String> KNOWN_SPEC_FIELDS = List.of(
             "l", "t", "g", "u", "n", "c", "q", "r", "b", "z", "o", "a", "p", "i", "ig", "e", "k", "s", "d", "at");
 
-    /** A record after a leader of the version in production has read it and written it back. */
-    public static Map<String, Object> rewrittenByProduction(Map<String, Object> m) {
-        Map<String, Object> out = new LinkedHashMap<>(m);
-        out.keySet().retainAll(KNOWN);
-        Map<String, Object> s = new LinkedHashMap<>(org.mountlug.wire.Fields.asMap(m.get("s")));
-        s.keySet().retainAll(KNOWN_SPEC);
-        out.put("s", s);
-        return out;
+    /** Returns a record as it is after a leader of the production version has read it and written it back. */
+    public static Map<String, Object> rewrittenByProduction(Map<String, Object> record) {
+        Map<String, Object> rewritten = new LinkedHashMap<>(record);
+        rewritten.keySet().retainAll(KNOWN_FIELDS);
+        Map<String, Object> spec = new LinkedHashMap<>(org.mountlug.wire.Fields.asMap(record.get("s")));
+        spec.keySet().retainAll(KNOWN_SPEC_FIELDS);
+        rewritten.put("s", spec);
+        return rewritten;
     }
 
     @Test
-    void theFixturesAreAsProductionWroteThem() throws Exception {
-        String[] lines = new String(bytes("SHA256SUMS"), StandardCharsets.US_ASCII)
+    void fixturesHaveTheirChecksums() throws Exception {
+        String[] lines = new String(fixtureBytes("SHA256SUMS"), StandardCharsets.US_ASCII)
                 .strip()
                 .split("\n");
         assertEquals(11, lines.length);
-        for (String l : lines) {
-            String[] f = l.split("\\s+");
-            byte[] sum = MessageDigest.getInstance("SHA-256").digest(bytes(f[1]));
-            assertEquals(f[0], HexFormat.of().formatHex(sum), f[1]);
+        for (String line : lines) {
+            String[] sumAndName = line.split("\\s+");
+            byte[] sum = MessageDigest.getInstance("SHA-256").digest(fixtureBytes(sumAndName[1]));
+            assertEquals(sumAndName[0], HexFormat.of().formatHex(sum), sumAndName[1]);
         }
     }
 
@@ -82,135 +83,161 @@
         "cancelled, 20, 0, 20, 1, 1, true, ARRAY",
         "gang, 4, 0, 4, 3, 3, false, GANG"
     })
-    void itsRecordsAreRead(
-            String name, int tasks, int done, int placed, long attempts, long last, boolean cancelled, JobType shape)
+    void jobRecordsOfProductionAreRead(
+            String name,
+            int tasks,
+            int done,
+            int placed,
+            long lastAttemptOfJob,
+            long lastAttemptPlaced,
+            boolean cancelled,
+            JobType jobType)
             throws IOException {
-        Job j = read(name);
-        assertEquals(tasks, j.spec.tasks());
+        Job job = readJobFixture(name);
+        assertEquals(tasks, job.spec.tasks());
         if (done >= 0) {
-            assertEquals(done, j.doneTasks.cardinality());
+            assertEquals(done, job.doneTasks.cardinality());
         } else {
-            assertTrue(j.doneTasks.cardinality() > 700);
+            assertTrue(job.doneTasks.cardinality() > 700);
         }
-        assertEquals(placed, j.placements.size());
-        assertEquals(attempts, j.lastAttempt);
+        assertEquals(placed, job.placements.size());
+        assertEquals(lastAttemptOfJob, job.lastAttempt);
         assertEquals(
-                last,
-                j.placements.values().stream().mapToLong(p -> p.attempt).max().orElse(0));
-        assertEquals(cancelled, j.cancelled);
-        assertEquals(shape, j.spec.jobType());
-        assertEquals(List.of("meerkat", "kudu"), j.spec.machineTypes());
-        assertTrue(j.placements.values().stream().allMatch(p -> j.isDurable(p.task, p.version)));
-        // The machines' names, zones and sessions are those that the fixtures were made of.
-        j.placements.values().forEach(p -> {
-            int k = Integer.parseInt(p.machine.substring(2));
-            assertEquals(List.of("joburg", "capetown", "durban").get(k % 3), p.zone);
-            assertEquals(k % 5 == 0 ? 3 : 1, p.session);
+                lastAttemptPlaced,
+                job.placements.values().stream()
+                        .mapToLong(placement -> placement.attempt)
+                        .max()
+                        .orElse(0));
+        assertEquals(cancelled, job.cancelled);
+        assertEquals(jobType, job.spec.jobType());
+        assertEquals(List.of("meerkat", "kudu"), job.spec.machineTypes());
+        assertTrue(job.placements.values().stream()
+                .allMatch(placement -> job.isDurable(placement.task, placement.version)));
+        // The fixtures derive a machine's zone and session from the number in its name.
+        job.placements.values().forEach(placement -> {
+            int machineNumber = Integer.parseInt(placement.machine.substring(2));
+            assertEquals(List.of("joburg", "capetown", "durban").get(machineNumber % 3), placement.zone);
+            assertEquals(machineNumber % 5 == 0 ? 3 : 1, placement.session);
         });
-        JobRecordCodec.TaskCounts counts = JobRecordCodec.taskCounts(Cbor.readMap(bytes(name + ".cbor")));
-        assertEquals(List.of(j.doneTasks.cardinality(), placed), List.of(counts.done(), counts.placed()));
+        JobRecordCodec.TaskCounts counts = JobRecordCodec.taskCounts(Cbor.readMap(fixtureBytes(name + ".cbor")));
+        assertEquals(List.of(job.doneTasks.cardinality(), placed), List.of(counts.done(), counts.placed()));
     }
 
     @Test
-    void itsOtherRecordsAndFramesAreRead() throws IOException {
-        assertEquals(Map.of("done", true, "n", 200L), Cbor.readMap(bytes("final-done.cbor")));
-        assertEquals(Map.of("done", false, "n", 20L), Cbor.readMap(bytes("final-cancelled.cbor")));
+    void otherRecordsAndPeerFramesOfProductionAreRead() throws IOException {
+        assertEquals(Map.of("done", true, "n", 200L), Cbor.readMap(fixtureBytes("final-done.cbor")));
+        assertEquals(Map.of("done", false, "n", 20L), Cbor.readMap(fixtureBytes("final-cancelled.cbor")));
         assertEquals(
                 JobRecordCodec.finalRecord(true, 200).keySet(),
-                Cbor.readMap(bytes("final-done.cbor")).keySet());
+                Cbor.readMap(fixtureBytes("final-done.cbor")).keySet());
         assertEquals(
                 List.of(new Reservation(0, "n-000012"), new Reservation(1, "n-000044")),
-                ReservationCodec.read(Cbor.readMap(bytes("reservations.cbor"))));
-        PeerCodec.StatusResponse a =
+                ReservationCodec.read(Cbor.readMap(fixtureBytes("reservations.cbor"))));
+        PeerCodec.StatusResponse response =
                 new PeerCodec.StatusResponse(5, -77, true, 41, 12, false, List.of("wk-000105", "wk-000001"));
-        assertEquals(a, PeerCodec.readResponse(PeerCodec.nextFrame(ByteBuffer.wrap(bytes("peer-answer.cbor")))));
-        // What we say is what it would say, to the byte; a longer frame of a later version is understood as far as it
-        // goes.
-        assertEquals(ByteBuffer.wrap(bytes("peer-answer.cbor")), PeerCodec.writeResponse(a));
-        assertEquals(ByteBuffer.wrap(bytes("peer-question.cbor")), PeerCodec.writeRequest(5));
-        byte[] longer = java.util.Arrays.copyOf(bytes("peer-answer.cbor"), bytes("peer-answer.cbor").length + 9);
-        ByteBuffer.wrap(longer).putInt(0, longer.length - 4);
-        assertEquals(a, PeerCodec.readResponse(PeerCodec.nextFrame(ByteBuffer.wrap(longer))));
+        assertEquals(
+                response,
+                PeerCodec.readResponse(PeerCodec.nextFrame(ByteBuffer.wrap(fixtureBytes("peer-answer.cbor")))));
+        // This version writes the same bytes as production. A longer frame of a later version is read up to the fields
+        // that this version knows.
+        assertEquals(ByteBuffer.wrap(fixtureBytes("peer-answer.cbor")), PeerCodec.writeResponse(response));
+        assertEquals(ByteBuffer.wrap(fixtureBytes("peer-question.cbor")), PeerCodec.writeRequest(5));
+        byte[] longerFrame =
+                java.util.Arrays.copyOf(fixtureBytes("peer-answer.cbor"), fixtureBytes("peer-answer.cbor").length + 9);
+        ByteBuffer.wrap(longerFrame).putInt(0, longerFrame.length - 4);
+        assertEquals(response, PeerCodec.readResponse(PeerCodec.nextFrame(ByteBuffer.wrap(longerFrame))));
     }
 
-    /** While there are no parts, what is written is what production would have written, and comes back whole. */
+    /**
+     * Without parts, this version writes what production would have written, and nothing is lost when production
+     * rewrites it.
+     */
     @ParameterizedTest(name = "{0}")
     @ValueSource(strings = {"fresh", "half-done", "bit-set", "many-machines", "cancelled", "gang"})
-    void whatIsWrittenSurvivesProduction(String name) throws IOException {
-        Job j = read(name);
-        Map<String, Object> m = Cbor.readMap(Cbor.write(JobRecordCodec.write(j, "50.1")));
-        assertEquals(m, Cbor.readMap(Cbor.write(rewrittenByProduction(m))));
-        Job k = JobRecordCodec.read(j.spec.id(), rewrittenByProduction(m), 10, 0);
-        assertEquals(j.spec, k.spec);
-        assertEquals(j.doneTasks, k.doneTasks);
-        assertEquals(j.placements.keySet(), k.placements.keySet());
-        assertEquals(j.lastAttempt, k.lastAttempt);
-        assertEquals(j.failuresByTask, k.failuresByTask);
+    void recordsWithoutPartsSurviveProduction(String name) throws IOException {
+        Job job = readJobFixture(name);
+        Map<String, Object> record = Cbor.readMap(Cbor.write(JobRecordCodec.write(job, "50.1")));
+        assertEquals(record, Cbor.readMap(Cbor.write(rewrittenByProduction(record))));
+        Job decoded = JobRecordCodec.read(job.spec.id(), rewrittenByProduction(record), 10, 0);
+        assertEquals(job.spec, decoded.spec);
+        assertEquals(job.doneTasks, decoded.doneTasks);
+        assertEquals(job.placements.keySet(), decoded.placements.keySet());
+        assertEquals(job.lastAttempt, decoded.lastAttempt);
+        assertEquals(job.failuresByTask, decoded.failuresByTask);
     }
 
     @ParameterizedTest
     @EnumSource(JobType.class)
-    void theShapeSurvivesProduction(JobType shape) throws IOException {
-        JobSpec s = Fixtures.spec("wk-000001", shape, 6, Fixtures.array("x", 1).request(), Priority.PROD);
-        Map<String, Object> m = rewrittenByProduction(Cbor.readMap(Cbor.write(JobRecordCodec.newRecord(s))));
-        assertEquals(shape, JobRecordCodec.read(s.id(), m, 3, 0).spec.jobType());
-        // It took a replica's end for a result; no replica has one.
-        m.put("d", "0-5");
-        Job j = JobRecordCodec.read(s.id(), m, 3, 0);
-        assertEquals(shape == JobType.SERVICE ? 0 : 6, j.doneTasks.cardinality());
-        assertEquals(shape != JobType.SERVICE, j.isComplete());
+    void jobTypeSurvivesProduction(JobType jobType) throws IOException {
+        JobSpec spec =
+                Fixtures.spec("wk-000001", jobType, 6, Fixtures.array("x", 1).request(), Priority.PROD);
+        Map<String, Object> record = rewrittenByProduction(Cbor.readMap(Cbor.write(JobRecordCodec.newRecord(spec))));
+        assertEquals(jobType, JobRecordCodec.read(spec.id(), record, 3, 0).spec.jobType());
+        // Production recorded a replica that ended as done; in this version replicas are never done.
+        record.put("d", "0-5");
+        Job job = JobRecordCodec.read(spec.id(), record, 3, 0);
+        assertEquals(jobType == JobType.SERVICE ? 0 : 6, job.doneTasks.cardinality());
+        assertEquals(jobType != JobType.SERVICE, job.isComplete());
     }
 
-    /** A job as production left it goes over to parts, whichever limit: nothing is lost, and nothing passes the limit. */
+    /**
+     * A job record of production can be split into parts under any value limit, without losing progress or exceeding
+     * the limit.
+     */
     @ParameterizedTest(name = "{0} in {1} characters")
     @CsvSource({"half-done, 1740", "bit-set, 1740", "many-machines, 1740", "many-machines, 900", "cancelled, 1740"})
-    void whatProductionLeftGoesIntoParts(String name, int chars) throws IOException {
-        Job j = read(name);
-        JobRecordCodec.PartLayout l = JobRecordCodec.layoutFor(j.spec, chars, 9);
-        j.splitIntoParts(l.ownTasks(), l.tasksPerPart(), 0);
-        Map<String, Object> own = Cbor.readMap(Cbor.write(JobRecordCodec.write(j, "50.1")));
-        assertTrue(Json.length(own) <= chars, own.toString());
-        Job k = JobRecordCodec.read(j.spec.id(), own, 11, 0);
-        for (int p = 1; p < j.recordCount(); p++) {
-            Map<String, Object> part = Cbor.readMap(Cbor.write(JobRecordCodec.writePart(j, p)));
-            assertTrue(Json.length(part) <= chars, part.toString());
-            JobRecordCodec.readPart(k, p, part, 0);
+    void productionRecordsAreSplitIntoParts(String name, int maxChars) throws IOException {
+        Job job = readJobFixture(name);
+        JobRecordCodec.PartLayout layout = JobRecordCodec.layoutFor(job.spec, maxChars, 9);
+        job.splitIntoParts(layout.ownTasks(), layout.tasksPerPart(), 0);
+        Map<String, Object> mainRecord = Cbor.readMap(Cbor.write(JobRecordCodec.write(job, "50.1")));
+        assertTrue(Json.length(mainRecord) <= maxChars, mainRecord.toString());
+        Job decoded = JobRecordCodec.read(job.spec.id(), mainRecord, 11, 0);
+        for (int partNumber = 1; partNumber < job.recordCount(); partNumber++) {
+            Map<String, Object> part = Cbor.readMap(Cbor.write(JobRecordCodec.writePart(job, partNumber)));
+            assertTrue(Json.length(part) <= maxChars, part.toString());
+            JobRecordCodec.readPart(decoded, partNumber, part, 0);
         }
-        assertEquals(j.doneTasks, k.doneTasks);
-        assertEquals(j.placements.keySet(), k.placements.keySet());
-        j.placements.forEach((t, p) -> {
-            var q = k.placements.get(t);
+        assertEquals(job.doneTasks, decoded.doneTasks);
+        assertEquals(job.placements.keySet(), decoded.placements.keySet());
+        job.placements.forEach((task, placement) -> {
+            var decodedPlacement = decoded.placements.get(task);
             assertEquals(
-                    List.of(p.machine, p.zone, p.session, p.attempt), List.of(q.machine, q.zone, q.session, q.attempt));
+                    List.of(placement.machine, placement.zone, placement.session, placement.attempt),
+                    List.of(
+                            decodedPlacement.machine,
+                            decodedPlacement.zone,
+                            decodedPlacement.session,
+                            decodedPlacement.attempt));
         });
-        assertEquals(j.failuresByTask, k.failuresByTask);
+        assertEquals(job.failuresByTask, decoded.failuresByTask);
         assertEquals(
-                List.of(j.doneTasks.cardinality(), j.placements.size()),
+                List.of(job.doneTasks.cardinality(), job.placements.size()),
                 List.of(
-                        JobRecordCodec.taskCounts(own).done(),
-                        JobRecordCodec.taskCounts(own).placed()));
+                        JobRecordCodec.taskCounts(mainRecord).done(),
+                        JobRecordCodec.taskCounts(mainRecord).placed()));
     }
 
     /**
-     * Until the own record says that there are parts, what was durable stays durable by the old one, and what is decided
-     * meanwhile waits; a part that is written ahead counts for nothing yet.
+     * A split becomes durable with the write of the main record that refers to the parts. Until then, what was durable
+     * stays durable by the old main record, later placements are not durable, and staged parts have no effect.
      */
     @Test
-    void aSwitchIsDurableAtOnceOrNotAtAll() throws IOException {
-        Job j = read("many-machines");
-        Cluster c = Fixtures.cluster();
-        Machine m = new Machine("n-000999", 0);
-        m.zone = "joburg";
-        j.splitIntoParts(30, 40, 0);
-        assertTrue(j.isSplitPending());
-        assertTrue(j.placements.values().stream().allMatch(p -> j.isDurable(p.task, p.version)));
-        var late = c.place(j, 1100, 3, m, 0);
-        int[] first = j.partsToWrite(3);
-        long v = j.version;
-        j.markStaged(first, v);
-        assertTrue(j.isSplitPending() && j.isDirty() && !j.isDurable(1100, late.version));
-        int[] rest = j.partsToWrite(100);
-        j.markPersisted(rest, j.version);
-        assertTrue(!j.isSplitPending() && !j.isDirty() && j.isDurable(1100, late.version));
+    void splitBecomesDurableAtomically() throws IOException {
+        Job job = readJobFixture("many-machines");
+        Cluster cluster = Fixtures.cluster();
+        Machine machine = new Machine("n-000999", 0);
+        machine.zone = "joburg";
+        job.splitIntoParts(30, 40, 0);
+        assertTrue(job.isSplitPending());
+        assertTrue(job.placements.values().stream().allMatch(p -> job.isDurable(p.task, p.version)));
+        var newPlacement = cluster.place(job, 1100, 3, machine, 0);
+        int[] firstParts = job.partsToWrite(3);
+        long stagedVersion = job.version;
+        job.markStaged(firstParts, stagedVersion);
+        assertTrue(job.isSplitPending() && job.isDirty() && !job.isDurable(1100, newPlacement.version));
+        int[] remainingParts = job.partsToWrite(100);
+        job.markPersisted(remainingParts, job.version);
+        assertTrue(!job.isSplitPending() && !job.isDirty() && job.isDurable(1100, newPlacement.version));
     }
 }
--- a/src/test/java/org/mountlug/store/package-info.java
+++ b/src/test/java/org/mountlug/store/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of records, and of records written by the version in production. */
+/** Tests of the records in the state service, including those written by the production version. */
 package org.mountlug.store;
