--- a/src/test/java/org/mountlug/settings/OperatorSettingsTest.java
+++ b/src/test/java/org/mountlug/settings/OperatorSettingsTest.java
@@ -25,8 +25,9 @@
 import org.snakeyaml.engine.v2.api.LoadSettings;
 
 /**
- * The operators' file. Each case is judged twice, by the code that the daemon and {@code check} run and by the published
- * schema, and both must agree; only relations between two fields are beyond the schema.
+ * Tests the operators' settings. Each case is checked both by the code that the server and the {@code check} command
+ * run and by the published schema, and both must agree; only relations between two fields cannot be expressed in the
+ * schema.
  */
 class OperatorSettingsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -65,7 +66,7 @@
                 "log: {format: timed}",
                 "machines: {idle_keep_s: 0, spot_risk: 100}"
             })
-    void goodFilesAreAccepted(String text) throws IOException {
+    void validFilesAreAccepted(String text) throws IOException {
         Map<String, Object> content = Fields.asMap(yaml(text));
         assertDoesNotThrow(() -> OperatorSettings.of(content));
         assertTrue(schemaAccepts(content));
@@ -116,18 +117,20 @@
                 "machines: {idle_keep_s: -1} | machines.idle_keep_s",
                 "machines: {spot_risk: 0.5} | machines.spot_risk"
             })
-    void badFilesAreRefusedByNameOfTheField(String text, String field) throws IOException {
+    void invalidFilesAreRejectedWithTheFieldName(String text, String field) throws IOException {
         Map<String, Object> content = Fields.asMap(yaml(text));
-        Settings.InvalidSettingException refusal =
+        Settings.InvalidSettingException error =
                 assertThrows(Settings.InvalidSettingException.class, () -> OperatorSettings.of(content));
-        assertTrue(refusal.getMessage().startsWith(field + ": "), refusal.getMessage());
-        assertFalse(refusal.getMessage().contains("\n"));
-        if (!text.contains(".nan")) { // JSON has no such number
-            assertFalse(schemaAccepts(content), "the schema refuses it too");
+        assertTrue(error.getMessage().startsWith(field + ": "), error.getMessage());
+        assertFalse(error.getMessage().contains("\n"));
+        if (!text.contains(".nan")) { // JSON cannot represent NaN
+            assertFalse(schemaAccepts(content), "the schema must reject the file too");
         }
     }
 
-    /** Thresholds the wrong way round: a relation between fields, which no schema states. */
+    /**
+     * Thresholds in the wrong order are rejected. This is a relation between fields, which the schema cannot express.
+     */
     @ParameterizedTest(name = "{0}: {1}")
     @CsvSource(
             delimiter = '|',
@@ -138,41 +141,41 @@
                 "zones: {return_share: 0.1} | zones.return_share",
                 "zones: {return_after_s: 61} | zones.return_after_s"
             })
-    void thresholdsStandInOrder(String text, String field) {
-        Settings.InvalidSettingException refusal = assertThrows(
+    void thresholdsInWrongOrderAreRejected(String text, String field) {
+        Settings.InvalidSettingException error = assertThrows(
                 Settings.InvalidSettingException.class, () -> OperatorSettings.of(Fields.asMap(yaml(text))));
-        assertTrue(refusal.getMessage().startsWith(field + ": "), refusal.getMessage());
+        assertTrue(error.getMessage().startsWith(field + ": "), error.getMessage());
     }
 
     @Test
-    void aClassThatThePlatformDoesNotKnowIsRefused() throws Settings.InvalidSettingException {
+    void displacementClassWithoutObjectiveIsRejected() throws Settings.InvalidSettingException {
         OperatorSettings operators = OperatorSettings.of(Fields.asMap(yaml("zones: {displacement: [partitur]}")));
         List<Settings.Objective> objectives = List.of(new Settings.Objective("wait", "partitur", 12, 0.75));
         assertDoesNotThrow(() -> operators.checkAgainst(objectives));
-        Settings.InvalidSettingException refusal =
+        Settings.InvalidSettingException error =
                 assertThrows(Settings.InvalidSettingException.class, () -> operators.checkAgainst(List.of()));
-        assertTrue(refusal.getMessage().startsWith("zones.displacement: partitur"), refusal.getMessage());
+        assertTrue(error.getMessage().startsWith("zones.displacement: partitur"), error.getMessage());
     }
 
-    /** The defaults in the schema are those in force. */
+    /** The defaults in the schema are the effective ones. */
     @Test
-    void theSchemaStatesTheDefaults() throws IOException {
+    void schemaHasTheEffectiveDefaults() throws IOException {
         JsonNode zones;
         try (InputStream in = OperatorSettings.class.getResourceAsStream("operators.schema.json")) {
             zones = JSON.readTree(in).at("/properties/zones/properties");
         }
-        Map<String, Object> inForce = ZoneSettingsReader.effectiveValues(ZoneSettings.defaults());
-        inForce.forEach((field, value) -> {
-            JsonNode stated = zones.at("/" + field.replace(".", "/properties/") + "/default");
+        Map<String, Object> defaults = ZoneSettingsReader.effectiveValues(ZoneSettings.defaults());
+        defaults.forEach((field, value) -> {
+            JsonNode schemaDefault = zones.at("/" + field.replace(".", "/properties/") + "/default");
             if (value instanceof Number number) {
-                assertEquals(number.doubleValue(), stated.asDouble(), field);
+                assertEquals(number.doubleValue(), schemaDefault.asDouble(), field);
             }
         });
-        assertEquals(14, inForce.size());
+        assertEquals(14, defaults.size());
     }
 
     @Test
-    void theFileOfTheDeploymentIsGoodAndSwitchesZonesOn() throws Settings.InvalidSettingException {
+    void deploymentFileIsValidAndEnablesZones() throws Settings.InvalidSettingException {
         OperatorSettings operators = OperatorSettings.load(Path.of("deploy/operators.yaml"));
         assertTrue(operators.zones().enabled());
         assertTrue(operators.effectiveValues().contains("zones.enabled = true"));
--- a/src/test/java/org/mountlug/settings/SettingsTest.java
+++ b/src/test/java/org/mountlug/settings/SettingsTest.java
@@ -12,27 +12,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.mountlug.wire.Fields;
 
-/** Settings name the field that is wrong. */
+/** Tests that the settings are read and that errors name the invalid field. */
 class SettingsTest {
-    static Map<String, Object> good() {
-        Map<String, Object> m = new HashMap<>(Map.of(
+    static Map<String, Object> validSettings() {
+        Map<String, Object> settings = new HashMap<>(Map.of(
                 "label", "a", "zone", "z", "listen", "10.0.0.1:80", "cluster_listen", "10.0.0.1:81", "surprise", 1L));
-        m.put("endpoints", new HashMap<>(Map.of("cloud", "10.0.0.2:1", "state", "10.0.0.2:2")));
-        Map<String, Object> c = new HashMap<>();
-        c.put("teams", List.of(Map.of("name", "t")));
-        c.put(
+        settings.put("endpoints", new HashMap<>(Map.of("cloud", "10.0.0.2:1", "state", "10.0.0.2:2")));
+        Map<String, Object> cluster = new HashMap<>();
+        cluster.put("teams", List.of(Map.of("name", "t")));
+        cluster.put(
                 "workers",
                 new HashMap<>(Map.of(
                         "report_s", 2.0, "lease_s", 10.0, "gang_wait_s", 5.0, "gang_peer_s", 6.0, "cancel_s", 30.0)));
-        c.put("state", new HashMap<>(Map.of("rps", 200.0, "write_rps", 25.0, "value_kb", 8.0, "txn_ops", 8L)));
-        c.put("cloud", new HashMap<>(Map.of("rps", 4.0, "list_lag_s", 10.0)));
-        m.put("cluster", c);
-        return m;
+        cluster.put("state", new HashMap<>(Map.of("rps", 200.0, "write_rps", 25.0, "value_kb", 8.0, "txn_ops", 8L)));
+        cluster.put("cloud", new HashMap<>(Map.of("rps", 4.0, "list_lag_s", 10.0)));
+        settings.put("cluster", cluster);
+        return settings;
     }
 
     @Test
     void unknownFieldsAreIgnored() throws Settings.InvalidSettingException {
-        assertEquals(8, Settings.of(good(), OperatorSettings.defaults()).txnOps());
+        assertEquals(
+                8, Settings.of(validSettings(), OperatorSettings.defaults()).txnOps());
     }
 
     @SuppressWarnings("unchecked")
@@ -50,25 +51,25 @@
         "cluster.state.next.value_kb, 0",
         "cluster.state.next.txn_ops, many"
     })
-    void theBadFieldIsNamed(String path, String value) {
-        Map<String, Object> m = good();
-        String[] p = path.split("\\.");
-        Map<String, Object> at = m;
-        for (int i = 0; i < p.length - 1; i++) {
-            at.computeIfAbsent(p[i], k -> new HashMap<>());
-            at = (Map<String, Object>) at.get(p[i]);
+    void errorNamesTheInvalidField(String path, String value) {
+        Map<String, Object> settings = validSettings();
+        String[] names = path.split("\\.");
+        Map<String, Object> table = settings;
+        for (int i = 0; i < names.length - 1; i++) {
+            table.computeIfAbsent(names[i], unseen -> new HashMap<>());
+            table = (Map<String, Object>) table.get(names[i]);
         }
-        Object v = value;
+        Object parsedValue = value;
         if (value != null && value.matches("\\d+")) {
-            v = Long.parseLong(value);
+            parsedValue = Long.parseLong(value);
         }
-        at.put(p[p.length - 1], v);
-        Settings.InvalidSettingException e =
-                assertThrows(Settings.InvalidSettingException.class, () -> Settings.of(m, OperatorSettings.defaults()));
-        assertTrue(e.getMessage().startsWith(path + ":"), e.getMessage());
+        table.put(names[names.length - 1], parsedValue);
+        Settings.InvalidSettingException error = assertThrows(
+                Settings.InvalidSettingException.class, () -> Settings.of(settings, OperatorSettings.defaults()));
+        assertTrue(error.getMessage().startsWith(path + ":"), error.getMessage());
     }
 
-    /** Of the limits that hold now and those to come the smaller ones count; any of the latter may be left out. */
+    /** The smaller one of each current and upcoming limit applies; any upcoming limit may be missing. */
     @ParameterizedTest(name = "next: {0} = {1}")
     @CsvSource({
         ", 0, 200, 25, 8, 8",
@@ -80,23 +81,30 @@
         "colour, 1, 200, 25, 8, 8"
     })
     @SuppressWarnings("unchecked")
-    void theSmallerLimitsCount(String field, long value, double rps, double writes, double kb, int ops)
+    void smallerStateLimitsApply(String field, long value, double rps, double writeRps, double valueKb, int txnOps)
             throws Settings.InvalidSettingException {
-        Map<String, Object> m = good();
+        Map<String, Object> content = validSettings();
         Map<String, Object> state = new HashMap<>(Map.of("rps", 200L, "write_rps", 25L, "value_kb", 8L, "txn_ops", 8L));
         if (field != null) {
             state.put("next", Map.of(field, value));
         }
-        ((Map<String, Object>) m.get("cluster")).put("state", state);
-        Settings s = Settings.of(m, OperatorSettings.defaults());
+        ((Map<String, Object>) content.get("cluster")).put("state", state);
+        Settings settings = Settings.of(content, OperatorSettings.defaults());
         assertEquals(
-                List.of(rps, writes, kb, 8.0, (double) ops),
-                List.of(s.stateRps(), s.stateWriteRps(), s.strictestValueLimitKb(), s.currentValueLimitKb(), (double)
-                        s.txnOps()));
+                List.of(rps, writeRps, valueKb, 8.0, (double) txnOps),
+                List.of(
+                        settings.stateRps(),
+                        settings.stateWriteRps(),
+                        settings.strictestValueLimitKb(),
+                        settings.currentValueLimitKb(),
+                        (double) settings.txnOps()));
     }
 
-    /** What cannot be met ends the start with the field's name; what may not be met is said. */
-    @ParameterizedTest(name = "{0} sockets, {1} MB, heap {2} MB: {3}")
+    /**
+     * A limit that is too low for a controller ends the start with an error that names the field; a limit that may be
+     * too low only causes a notice.
+     */
+    @ParameterizedTest(name = "{0} file descriptors, {1} MB, heap {2} MB: {3}")
     @CsvSource({
         "2509, 360, 112, sockets for 2",
         "1200, 205, 112, sockets for",
@@ -106,34 +114,37 @@
         "2509, 0, 112, sockets for"
     })
     @SuppressWarnings("unchecked")
-    void sizesThatCannotBeMetAreSaidAtTheStart(long sockets, long mb, double heapMb, String said)
+    void machineLimitsAreCheckedAtStart(long fdLimit, long memoryMb, double heapMb, String expected)
             throws Settings.InvalidSettingException {
-        Map<String, Object> m = good();
-        ((Map<String, Object>) m.get("cluster")).put("machine_limits", Map.of("fd_limit", sockets, "mem_mb", mb));
-        Settings s = Settings.of(m, OperatorSettings.defaults());
-        if (said.startsWith("cluster.")) {
-            Settings.InvalidSettingException e =
-                    assertThrows(Settings.InvalidSettingException.class, () -> ControllerSizing.check(s, heapMb));
-            assertTrue(e.getMessage().startsWith(said + ":"), e.getMessage());
+        Map<String, Object> content = validSettings();
+        ((Map<String, Object>) content.get("cluster"))
+                .put("machine_limits", Map.of("fd_limit", fdLimit, "mem_mb", memoryMb));
+        Settings settings = Settings.of(content, OperatorSettings.defaults());
+        if (expected.startsWith("cluster.")) {
+            Settings.InvalidSettingException error = assertThrows(
+                    Settings.InvalidSettingException.class, () -> ControllerSizing.check(settings, heapMb));
+            assertTrue(error.getMessage().startsWith(expected + ":"), error.getMessage());
         } else {
-            assertTrue(String.join("; ", ControllerSizing.check(s, heapMb)).contains(said));
+            assertTrue(
+                    String.join("; ", ControllerSizing.check(settings, heapMb)).contains(expected));
         }
     }
 
-    /** All workers may come at the same time, so as many connections wait as there are sockets for workers. */
-    @ParameterizedTest(name = "{0} sockets: {1} wait")
+    /** All workers may connect at the same time, so as many connections may wait as there are sockets for workers. */
+    @ParameterizedTest(name = "{0} file descriptors: {1} waiting connections")
     @CsvSource({"600, 512", "2500, 2297", "5000, 4797"})
-    void connectionsThatWaitFollowFromTheSockets(long sockets, int waiting) throws Settings.InvalidSettingException {
-        Map<String, Object> m = good();
-        Fields.asMap(m.get("cluster")).put("machine_limits", Map.of("fd_limit", sockets));
-        assertEquals(waiting, ControllerSizing.backlog(Settings.of(m, OperatorSettings.defaults())));
+    void acceptBacklogCoversAllWorkers(long fdLimit, int backlog) throws Settings.InvalidSettingException {
+        Map<String, Object> content = validSettings();
+        Fields.asMap(content.get("cluster")).put("machine_limits", Map.of("fd_limit", fdLimit));
+        assertEquals(backlog, ControllerSizing.backlog(Settings.of(content, OperatorSettings.defaults())));
     }
 
     @ParameterizedTest(name = "{0}.{1}")
     @CsvSource({"shares, t, -1", "log, format, xml", "machines, spot_risk, 0", "machins, a, 1"})
-    void operatorsMistakesAreErrors(String table, String field, String value) {
-        Object v = value.matches("-?\\d+") ? (Object) Long.parseLong(value) : value;
+    void invalidOperatorSettingsAreRejected(String table, String field, String value) {
+        Object parsedValue = value.matches("-?\\d+") ? (Object) Long.parseLong(value) : value;
         assertThrows(
-                Settings.InvalidSettingException.class, () -> OperatorSettings.of(Map.of(table, Map.of(field, v))));
+                Settings.InvalidSettingException.class,
+                () -> OperatorSettings.of(Map.of(table, Map.of(field, parsedValue))));
     }
 }
--- a/src/test/java/org/mountlug/settings/package-info.java
+++ b/src/test/java/org/mountlug/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the settings and their errors. */
+/** Tests of the settings and their error messages. */
 package org.mountlug.settings;
