--- a/src/main/java/org/mountlug/core/admit/AdmissionDecision.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionDecision.java
@@ -1,6 +1,6 @@
 package org.mountlug.core.admit;
 
-/** The decision on a valid submission. */
+/** The decision on a submission whose job can run. */
 public sealed interface AdmissionDecision {
     /** The job's record may be written now. */
     record Admit() implements AdmissionDecision {}
@@ -18,7 +18,7 @@
     record RateLimited() implements AdmissionDecision {}
 
     /**
-     * The submission cannot be decided at the moment.
+     * The submission is not admitted at the moment, as the admission table is stale or the token buckets are empty.
      *
      * @param retryAfterS whole seconds after which the user should repeat the submission
      */
