--- a/src/main/java/org/mountlug/core/allocate/Allocator.java
+++ b/src/main/java/org/mountlug/core/allocate/Allocator.java
@@ -116,7 +116,7 @@
      * empty as short tasks end; otherwise gangs that need whole machines would starve behind a stream of small tasks.
      */
     private void placeOverflow(List<Job> pending) {
-        double waitingMachines = 0;
+        double neededMachines = 0;
         for (Job job : pending) {
             if (job.spec.request().gpus() == 0
                     || job.pendingTaskCount() <= 0
@@ -132,7 +132,7 @@
                             machineShare, job.spec.request().dominantShareOf(machineView.machine.type.capacity()));
                 }
             }
-            waitingMachines += Math.min(job.pendingTaskCount(), Constants.OVERFLOW_BLOCK_TASKS) * machineShare;
+            neededMachines += Math.min(job.pendingTaskCount(), Constants.OVERFLOW_BLOCK_TASKS) * machineShare;
         }
         List<MachineView> acceleratorMachines = new ArrayList<>();
         for (MachineView machineView : round.machineViews.values()) {
@@ -147,12 +147,12 @@
                                 machineView -> -machineView.free.dominantShareOf(machineView.machine.type.capacity()))
                         .thenComparing(machineView -> machineView.machine.name));
         int blockedCount = (int) Math.min(
-                Math.ceil(waitingMachines), Math.ceil(acceleratorMachines.size() * Constants.OVERFLOW_BLOCK_SHARE));
+                Math.ceil(neededMachines), Math.ceil(acceleratorMachines.size() * Constants.OVERFLOW_BLOCK_SHARE));
         for (int i = 0; i < acceleratorMachines.size(); i++) {
             Machine machine = acceleratorMachines.get(i).machine;
             if (i < blockedCount) {
                 machine.noOverflowUntilS = Math.max(machine.noOverflowUntilS, round.nowS + Constants.OVERFLOW_BLOCK_S);
-            } else if (waitingMachines == 0) {
+            } else if (neededMachines == 0) {
                 machine.noOverflowUntilS = Double.NEGATIVE_INFINITY;
             }
         }
--- a/src/main/java/org/mountlug/core/allocate/ArrayPlacer.java
+++ b/src/main/java/org/mountlug/core/allocate/ArrayPlacer.java
@@ -54,10 +54,10 @@
         Map<MachineView, Double> costsS = new HashMap<>();
         for (MachineView machineView : round.machineViews.values()) {
             Machine machine = machineView.machine;
-            boolean overflowBlocked =
+            boolean excludedForOverflow =
                     overflowing && (machine.type.capacity().gpus() == 0 || machine.noOverflowUntilS > round.nowS);
             if (machine.heldForGang == null
-                    && !overflowBlocked
+                    && !excludedForOverflow
                     && job.spec.allows(machine.type.name(), machine.zone, machine.spot)
                     && machineView.countFittingNow(job.spec.request(), overflowing) > 0) {
                 fitting.add(machineView);
@@ -76,8 +76,8 @@
         private final Team team;
         private final PlacementTransaction transaction;
         private final Map<String, Integer> tasksByZone = new HashMap<>();
-        /** Zone of a task placed before, read only for jobs bound to one zone; null while no task is placed. */
-        private String firstZone;
+        /** Zone of a placed task, used only if all tasks must run in one zone; null while no task is placed. */
+        private String placedZone;
 
         private Resources usedByTeam;
         private int remainingTasks;
@@ -94,14 +94,14 @@
             if (job.spec.oneZone() || job.spec.spreadAcrossZones()) {
                 for (Placement placement : job.placements.values()) {
                     tasksByZone.merge(placement.zone, 1, Integer::sum);
-                    firstZone = placement.zone;
+                    placedZone = placement.zone;
                 }
             }
         }
 
         void placeOn(List<MachineView> candidates, boolean overflowing) {
             for (MachineView machineView : candidates) {
-                boolean otherZone = firstZone != null && !firstZone.equals(machineView.machine.zone);
+                boolean otherZone = placedZone != null && !placedZone.equals(machineView.machine.zone);
                 if (job.spec.oneZone() && otherZone) {
                     continue;
                 }
@@ -132,7 +132,7 @@
                 transaction.allocate(nextTask++, machineView);
                 usedByTeam = usedByTeam.plus(request);
                 tasksByZone.merge(zone, 1, Integer::sum);
-                firstZone = firstZone == null ? zone : firstZone;
+                placedZone = placedZone == null ? zone : placedZone;
                 remainingTasks--;
             }
         }
@@ -165,8 +165,8 @@
         }
         Map<MachineView, Resources> expectedCapacities = new LinkedHashMap<>();
         for (MachineView machineView : round.machineViews.values()) {
-            // Accelerator machines get no standbys: jobs compete for them by priority, and gangs need several
-            // places at once.
+            // Accelerator machines get no standbys: jobs compete for them by priority, and gangs need capacity for
+            // several tasks at once.
             if (machineView.machine.type.capacity().gpus() > 0
                     || machineView.machine.heldForGang != null
                     || machineView.hasStartBudget()
--- a/src/main/java/org/mountlug/core/allocate/GangPlacer.java
+++ b/src/main/java/org/mountlug/core/allocate/GangPlacer.java
@@ -15,7 +15,10 @@
  * is reserved. Otherwise the gang gets nothing.
  */
 final class GangPlacer {
-    /** Seconds subtracted from the placement cost of the machine on which a task has a reservation. */
+    /**
+     * Seconds subtracted from the placement cost of the machine on which a task has a reservation, so that the task keeps
+     * the machine unless another one is better by more.
+     */
     private static final double NOMINATED_MACHINE_BONUS_S = 0.5;
 
     private final RoundState round;
@@ -24,7 +27,7 @@
         this.round = round;
     }
 
-    /** Places or reserves one gang, each task preferably on the machine of its last reservation. */
+    /** Places one gang or reserves capacity for it, each task preferably on the machine of its last reservation. */
     void place(Job job) {
         List<Reservation> previousReservations = round.cluster.reservations.getOrDefault(job.spec.id(), List.of());
         if (!previousReservations.isEmpty()) {
@@ -53,7 +56,8 @@
             }
         }
         if (job.spec.tasks() > round.cluster.remainingRecordTasks(job)) {
-            // The job's record would exceed the value limit: it could not be written and would delay other records.
+            // The job record would exceed the state service's size limit for a value: it could not be written and would
+            // delay other records.
             return false;
         }
         Team team = round.cluster.team(job.spec.team());
@@ -77,14 +81,14 @@
     private PlacementTransaction findTransaction(Job job, Map<Integer, String> nominatedMachines) {
         for (String zone : zonesToTry(job, nominatedMachines.values())) {
             PlacementTransaction transaction = new PlacementTransaction(job);
-            List<Reservation> dropped = new ArrayList<>();
-            assignTasks(transaction, zone, nominatedMachines, dropped);
+            List<Reservation> releasedReservations = new ArrayList<>();
+            assignTasks(transaction, zone, nominatedMachines, releasedReservations);
             boolean reservable = !job.failureHistory.isSuspected() && transaction.isReservable(job.spec.tasks());
             if (transaction.isReady(job.spec.tasks()) || reservable) {
                 return transaction;
             }
             transaction.discard();
-            restoreReservations(job, dropped);
+            restoreReservations(job, releasedReservations);
         }
         return null;
     }
@@ -92,17 +96,18 @@
     /**
      * Allocates or reserves capacity for each task in turn, until a task finds none.
      *
-     * @param dropped receives the previous reservations that were released on the way
+     * @param releasedReservations receives the previous reservations that were released on the way
      */
     private void assignTasks(
             PlacementTransaction transaction,
             String zone,
             Map<Integer, String> nominatedMachines,
-            List<Reservation> dropped) {
+            List<Reservation> releasedReservations) {
         Job job = transaction.job;
         Map<String, Integer> tasksByZone = new HashMap<>();
         for (int task = 0; task < job.spec.tasks(); task++) {
-            MachineView machineView = selectMachine(job, zone, tasksByZone, nominatedMachines.get(task), task, dropped);
+            MachineView machineView =
+                    selectMachine(job, zone, tasksByZone, nominatedMachines.get(task), task, releasedReservations);
             if (machineView == null) {
                 return;
             }
@@ -127,17 +132,17 @@
             Map<String, Integer> tasksByZone,
             String nominated,
             int task,
-            List<Reservation> dropped) {
+            List<Reservation> releasedReservations) {
         if (nominated == null) {
             return findCheapestMachine(job, zone, tasksByZone, null);
         }
         Resources request = job.spec.request();
         MachineView nominatedView = round.machineViews.get(nominated);
-        // The task's own reservation still counts here, so the machine must have room for the request beside it.
+        // The task's own reservation still counts here, so the request must fit in addition to it.
         boolean fitsNominated = nominatedView != null
                 && isAllowed(job, nominatedView, zone, tasksByZone)
                 && request.fitsIn(nominatedView.futureFree());
-        dropped.add(new Reservation(task, nominated));
+        releasedReservations.add(new Reservation(task, nominated));
         if (nominatedView != null) {
             nominatedView.reserved = nominatedView.reserved.minus(request);
         }
@@ -145,8 +150,8 @@
     }
 
     /** Restores the reservations that were released for a zone in which the gang did not fit, before the next zone. */
-    private void restoreReservations(Job job, List<Reservation> dropped) {
-        for (Reservation reservation : dropped) {
+    private void restoreReservations(Job job, List<Reservation> releasedReservations) {
+        for (Reservation reservation : releasedReservations) {
             MachineView machineView = round.machineViews.get(reservation.machine());
             if (machineView != null) {
                 machineView.reserved = machineView.reserved.plus(job.spec.request());
@@ -189,7 +194,7 @@
      * Returns the allowed machine with the lowest placement cost among those where a task fits now, else among those
      * where it fits on future free capacity, else null.
      *
-     * @param nominated the machine whose cost is lowered by the bonus, or null
+     * @param nominated the machine whose cost is lowered by {@code NOMINATED_MACHINE_BONUS_S}, or null
      */
     private MachineView findCheapestMachine(Job job, String zone, Map<String, Integer> tasksByZone, String nominated) {
         MachineView bestNow = null;
--- a/src/main/java/org/mountlug/core/allocate/MachineView.java
+++ b/src/main/java/org/mountlug/core/allocate/MachineView.java
@@ -108,7 +108,8 @@
             double freeAcceleratorShare = Math.max(0, available.gpus()) / capacity.gpus();
             available = available.minus(
                     new Resources(capacity.cpus() * freeAcceleratorShare, 0, capacity.ramGb() * freeAcceleratorShare));
-            // CPU-only tasks must leave room for an accelerator gang that may preempt the accelerator work beside them.
+            // CPU-only tasks must leave capacity for an accelerator gang that may preempt the accelerator work beside
+            // them.
             Resources leftForCpuWork = capacity.minus(preemptingHostDemand);
             for (Placement placement : machine.placements.values()) {
                 if (placement.job.spec.request().gpus() == 0 && !placement.standby) {
--- a/src/main/java/org/mountlug/core/allocate/ReplicaPlacer.java
+++ b/src/main/java/org/mountlug/core/allocate/ReplicaPlacer.java
@@ -70,8 +70,8 @@
                             && replicasByZone.getOrDefault(machine.zone, 0) >= spec.maxTasksPerZone()) {
                         continue;
                     }
-                    // A new service skips accelerator machines and machines that make it late, as stopping tasks
-                    // that would end anyway may soon free capacity on a CPU machine.
+                    // A new service skips accelerator machines and machines on which it would be late: preemption may
+                    // soon free capacity on a CPU machine, at the cost of tasks that would end anyway.
                     if (round.replicaStartTimes.mayWaitForBetterMachine(job)
                             && (spec.request().gpus() == 0
                                             && machine.type.capacity().gpus() > 0
--- a/src/main/java/org/mountlug/core/allocate/ReplicaStartTimes.java
+++ b/src/main/java/org/mountlug/core/allocate/ReplicaStartTimes.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Returns the seconds by which a replica would be late on the machine with a slow fetch, at most as many as its start
-     * takes: lateness that has passed already is the same on every machine and does not count.
+     * Returns the seconds by which a replica would be late on the machine if its image were fetched slowly. The result is
+     * at most the duration of the start: lateness that has passed already is the same on every machine and does not count.
      */
     public double latenessS(Job job, Machine machine) {
         double startDurationS = imageFetchS(job, machine) * Constants.SLOW_FETCH_FACTOR + Constants.REPLICA_START_S;
@@ -40,7 +40,10 @@
                 Math.min(startDurationS, nowS - job.waitingSinceS + startDurationS - startWithinS.applyAsDouble(job)));
     }
 
-    /** Whether the service is so new that it waits for a better machine than an accelerator machine or one that is late. */
+    /**
+     * Whether the service is so new that it waits rather than be placed where it would be late or, if it is CPU-only, on an
+     * accelerator machine.
+     */
     public boolean mayWaitForBetterMachine(Job job) {
         return nowS - job.waitingSinceS < Constants.CHEAP_FIRST_S;
     }
--- a/src/main/java/org/mountlug/core/allocate/RoundState.java
+++ b/src/main/java/org/mountlug/core/allocate/RoundState.java
@@ -28,7 +28,7 @@
     final double lowestPricePerHour;
     final UnplaceableRequests unplaceableRequests = new UnplaceableRequests();
     private final ToDoubleFunction<Job> orderKey;
-    /** Order of all work while a zone is not present, else null. */
+    /** Order of all work while a zone is not in state {@code PRESENT}, else null. */
     private final DisplacementOrder displacement;
 
     private int placedCount;
--- a/src/main/java/org/mountlug/core/allocate/TeamQueues.java
+++ b/src/main/java/org/mountlug/core/allocate/TeamQueues.java
@@ -18,9 +18,9 @@
 /**
  * Orders jobs in one queue for each team and priority. Higher priorities go first. Within a priority the team that uses the
  * smallest share of its guarantee goes first, then teams that exceed theirs or have none, so that no team waits behind
- * another's backlog. While a zone is not present, the displacement order replaces priorities by levels and decides between
- * teams, except for teams within their guarantee. Both orders could starve a job, so a job that has waited too long goes
- * ahead until its first tasks are placed.
+ * another's backlog. While a zone is lost, suspected to be lost or returning, a {@link DisplacementOrder} replaces priorities
+ * by its levels and decides between teams, except for teams within their guarantee. Both orders could starve a job, so a job
+ * that has waited too long goes ahead until its first tasks are placed.
  */
 public final class TeamQueues {
     /** Queues by level, lowest first, and by team. */
@@ -29,7 +29,7 @@
     private final ArrayDeque<Job> starvingJobs = new ArrayDeque<>();
 
     private final DisplacementOrder displacement;
-    private final Function<String, Team> teams;
+    private final Function<String, Team> teamByName;
     private final Map<String, Resources> usageByTeam;
     private final Resources totalCapacity;
 
@@ -37,8 +37,8 @@
      * Sorts the jobs into their queues.
      *
      * @param orderKey key by which the jobs of a queue are sorted, lowest first; unused with a displacement order
-     * @param displacement order of all work while a zone is not present, else null
-     * @param teams returns the team of a name, or null
+     * @param displacement order of all work while a zone is not in state {@code PRESENT}, else null
+     * @param teamByName returns the team of a name, or null
      * @param usageByTeam resources in use by team, which the caller updates as it places jobs
      * @param totalCapacity capacity of all machines together
      */
@@ -46,12 +46,12 @@
             Iterable<Job> jobs,
             ToDoubleFunction<Job> orderKey,
             DisplacementOrder displacement,
-            Function<String, Team> teams,
+            Function<String, Team> teamByName,
             Map<String, Resources> usageByTeam,
             Resources totalCapacity,
             double nowS) {
         this.displacement = displacement;
-        this.teams = teams;
+        this.teamByName = teamByName;
         this.usageByTeam = usageByTeam;
         this.totalCapacity = totalCapacity;
         List<Job> sorted = new ArrayList<>();
@@ -86,26 +86,26 @@
         if (!starvingJobs.isEmpty()) {
             return starvingJobs.poll();
         }
-        for (Map<String, ArrayDeque<Job>> level : queues.values()) {
-            String team = nextTeam(level);
+        for (Map<String, ArrayDeque<Job>> queueByTeam : queues.values()) {
+            String team = nextTeam(queueByTeam);
             if (team != null) {
-                return level.get(team).poll();
+                return queueByTeam.get(team).poll();
             }
         }
         return null;
     }
 
     /** Returns the team whose job is next among the queues of one level, or null if all are empty. */
-    private String nextTeam(Map<String, ArrayDeque<Job>> level) {
+    private String nextTeam(Map<String, ArrayDeque<Job>> queueByTeam) {
         String bestTeam = null;
         double lowestShare = Double.MAX_VALUE;
-        for (Map.Entry<String, ArrayDeque<Job>> entry : level.entrySet()) {
+        for (Map.Entry<String, ArrayDeque<Job>> entry : queueByTeam.entrySet()) {
             if (entry.getValue().isEmpty()) {
                 continue;
             }
             String team = entry.getKey();
             double share = usageShare(team);
-            if (bestTeam == null || precedes(team, share, bestTeam, lowestShare, level)) {
+            if (bestTeam == null || precedes(team, share, bestTeam, lowestShare, queueByTeam)) {
                 lowestShare = share;
                 bestTeam = team;
             }
@@ -115,10 +115,12 @@
 
     /** Whether the next job of {@code team} goes before that of {@code other}. */
     private boolean precedes(
-            String team, double share, String other, double otherShare, Map<String, ArrayDeque<Job>> level) {
+            String team, double share, String other, double otherShare, Map<String, ArrayDeque<Job>> queueByTeam) {
         boolean bothBeyondGuarantees = share >= 1 && otherShare >= 1;
         if (displacement != null && bothBeyondGuarantees) {
-            return displacement.compare(level.get(team).peek(), level.get(other).peek()) < 0;
+            return displacement.compare(
+                            queueByTeam.get(team).peek(), queueByTeam.get(other).peek())
+                    < 0;
         }
         return share < otherShare || share == otherShare && team.compareTo(other) < 0;
     }
@@ -128,7 +130,7 @@
      * capacity that it uses. Either share is divided by the team weight.
      */
     private double usageShare(String teamName) {
-        Team team = teams.apply(teamName);
+        Team team = teamByName.apply(teamName);
         Resources used = usageByTeam.getOrDefault(teamName, Resources.ZERO);
         double weight = team == null ? 1 : team.weight();
         if (team != null && (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0)) {
--- a/src/main/java/org/mountlug/core/cluster/AcceleratorHostDemand.java
+++ b/src/main/java/org/mountlug/core/cluster/AcceleratorHostDemand.java
@@ -45,6 +45,7 @@
         return ofPrioritiesAbove(type, lowest);
     }
 
+    /** Returns the demand of accelerator tasks of priorities above {@code lowest}, or of all priorities if it is null. */
     private Resources ofPrioritiesAbove(MachineType type, Priority lowest) {
         Resources demand = Resources.ZERO;
         if (type.capacity().gpus() <= 0) {
--- a/src/main/java/org/mountlug/core/cluster/Cluster.java
+++ b/src/main/java/org/mountlug/core/cluster/Cluster.java
@@ -39,7 +39,10 @@
     public final Map<String, List<Reservation>> reservations = new LinkedHashMap<>();
     /** Machine types by name. */
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
-    /** By name of a machine that is proven gone, the time; the cloud's machine list lags and still shows it for a while. */
+    /**
+     * By name of a machine that is proven gone: monotonic time in seconds at which this was recorded. The cloud's machine
+     * list lags and may still show such a machine for a while.
+     */
     private final Map<String, Double> departedAtS = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
@@ -47,7 +50,7 @@
             return size() > Math.max(Constants.MIN_REMEMBERED_DEPARTED_MACHINES, 2 * machines.size());
         }
     };
-    /** By id of a finished job, the revision of its end, so that a delayed watch does not load the job again. */
+    /** By id of a finished job: revision of its final record, so that a delayed watch does not load the job again. */
     private final Map<String, Long> finishedRevisions = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
@@ -65,7 +68,9 @@
 
     private final AcceleratorHostDemand acceleratorDemand = new AcceleratorHostDemand();
     private final RecordCapacity recordCapacity = new RecordCapacity();
+    /** By name of a machine that is not known yet: images that an earlier leader saw on it. */
     private final Map<String, List<String>> expectedImages = new HashMap<>();
+
     private EventSummary events = new EventSummary();
     private final StartCounts startCounts = new StartCounts();
     private long lostTasks;
@@ -100,7 +105,10 @@
         }
     }
 
-    /** Monotonic time in seconds since which this process can receive reports; earlier silence is not the machines'. */
+    /**
+     * Monotonic time in seconds since which this process can receive reports; silence before it does not show that a
+     * machine sent none.
+     */
     private double listeningSinceS = Double.NEGATIVE_INFINITY;
 
     /** Counts silence from now on, as no report could arrive before: the term begins or a process pause has ended. */
@@ -155,7 +163,7 @@
         return maxLength;
     }
 
-    /** Returns how many more tasks of a job may be placed such that its record stays within the value limit. */
+    /** Returns how many more tasks of a job may be placed such that its record stays within the size limit. */
     public int remainingRecordTasks(Job job) {
         return recordCapacity.remainingTasks(job);
     }
@@ -438,7 +446,7 @@
      * Returns commands to be sent directly instead of in the response to the machine's next report, and marks them as sent:
      * stops, which free capacity that other work waits for, and starts of gangs, services and accelerator tasks.
      *
-     * @param mayStart whether start commands may be sent; stops of tasks that are not cancelled need this as well
+     * @param mayStart whether start commands may be sent; otherwise only cancelled jobs' tasks are stopped
      * @param allStarts whether starts of all other tasks are sent directly, too
      */
     public List<Command> takeDirectCommands(Machine machine, boolean mayStart, boolean allStarts, double nowS) {
--- a/src/main/java/org/mountlug/core/cluster/CommandHandler.java
+++ b/src/main/java/org/mountlug/core/cluster/CommandHandler.java
@@ -25,7 +25,7 @@
      * Returns commands to be sent directly instead of in the response to the machine's next report, and marks them as sent:
      * stops, which free capacity that other work waits for, and starts of gangs, services and accelerator tasks.
      *
-     * @param mayStart whether start commands may be sent; stops of tasks that are not cancelled need this as well
+     * @param mayStart whether start commands may be sent; otherwise only cancelled jobs' tasks are stopped
      * @param allStarts whether starts of all other tasks are sent directly, too, as capacity is idle until the next report
      */
     List<Command> takeDirectCommands(Machine machine, boolean mayStart, boolean allStarts, double nowS) {
@@ -80,8 +80,8 @@
         }
         for (Command command : commands) {
             Placement placement = machine.placements.get(command.taskName());
-            // The command is sent again only in responses to reports. Sent directly, it would go to a worker that
-            // refuses connections ten times a second.
+            // The command is sent again only in responses to reports. If it were sent directly again, a worker that
+            // refuses connections would be called ten times a second.
             if (placement == null || placement.attempt != command.attempt() || command.verb() == Command.Verb.STOP) {
                 continue;
             }
--- a/src/main/java/org/mountlug/core/cluster/Machine.java
+++ b/src/main/java/org/mountlug/core/cluster/Machine.java
@@ -116,7 +116,7 @@
     double slowness;
 
     /** Monotonic time in seconds at which the slowness was last updated. */
-    double slownessJudgedS = Double.NEGATIVE_INFINITY;
+    double slownessUpdatedS = Double.NEGATIVE_INFINITY;
     /**
      * Monotonic time in seconds at which the last silence of more than half a worker lease ended. Tasks that ran during it
      * may have ended long before their exit was reported.
--- a/src/main/java/org/mountlug/core/cluster/RecordCapacity.java
+++ b/src/main/java/org/mountlug/core/cluster/RecordCapacity.java
@@ -9,6 +9,7 @@
 /** Computes how many tasks of a job fit into one job record, which limits placements while no record parts may be written. */
 final class RecordCapacity {
     private boolean partsAllowed;
+    /** Characters of a record beside its fixed part; for a limit of 8 KiB until the limit is set. */
     private double availableChars = 8 * 1024 * Constants.VALUE_FILL_SHARE - Constants.RECORD_FIXED_CHARS;
 
     /** Sets the maximum size of a record in KiB. */
@@ -22,7 +23,7 @@
     }
 
     /**
-     * Returns how many more tasks of a job may be placed such that its record stays within the value limit, whichever of
+     * Returns how many more tasks of a job may be placed such that its record stays within the size limit, whichever of
      * the tasks that are placed now end. In the worst case every second task of a run (consecutive tasks with the same
      * attempt number on one machine) stays placed and is then written separately, and each new task needs another machine.
      */
--- a/src/main/java/org/mountlug/core/cluster/RunTimeStatistics.java
+++ b/src/main/java/org/mountlug/core/cluster/RunTimeStatistics.java
@@ -15,7 +15,10 @@
     /** By id of a live job: sum of the logarithms of its tasks' run times, and their number. */
     private final Object2ObjectOpenHashMap<String, double[]> runTimeLogsByJob = new Object2ObjectOpenHashMap<>();
 
-    /** Returns the expected run time of a task in seconds: the user's estimate, corrected by the ratio of its class. */
+    /**
+     * Returns the expected run time of a task in seconds, at least 1: the user's estimate times the mean ratio of its class.
+     * The mean includes four assumed tasks with a ratio of 1, and counts as at least 0.3 and at most 3.
+     */
     double expectedRunS(Job job) {
         double[] ratios = runTimeRatiosByClass.get(job.spec.jobClass());
         double factor = ratios == null ? 1 : (ratios[0] + 4) / (ratios[1] + 4);
@@ -65,13 +68,13 @@
         double meanLog = jobLogs[1] > 0 ? jobLogs[0] / jobLogs[1] : runLog;
         boolean isComparable = jobLogs[1] >= Constants.SLOWNESS_MIN_SAMPLES
                 && placement.runningSinceS > machine.silenceEndedS
-                && nowS > machine.slownessJudgedS;
+                && nowS > machine.slownessUpdatedS;
         jobLogs[0] += Math.min(runLog, meanLog + Constants.MAX_SLOWNESS_PER_TASK_LOG);
         jobLogs[1]++;
         if (!isComparable) {
             return false;
         }
-        machine.slownessJudgedS = nowS; // of tasks reported as exited together only one counts
+        machine.slownessUpdatedS = nowS; // of tasks reported as exited together only one counts
         machine.slowness = Math.max(
                 0,
                 machine.slowness
--- a/src/main/java/org/mountlug/core/lead/Election.java
+++ b/src/main/java/org/mountlug/core/lead/Election.java
@@ -41,6 +41,7 @@
     /**
      * Creates the election state of a controller that does not lead.
      *
+     * @param label name of the controller, the same after a restart
      * @param nonce distinguishes this process from earlier ones with the same label
      */
     public Election(String label, String nonce) {
--- a/src/main/java/org/mountlug/core/model/Job.java
+++ b/src/main/java/org/mountlug/core/model/Job.java
@@ -15,7 +15,7 @@
  */
 public final class Job {
     public final JobSpec spec;
-    /** Revision of the job record from which the job was read, or as which it was last written. */
+    /** Revision of the job record as it was last read or written. */
     public long revision;
     /**
      * Identifier of the last write by a leader. A user's cancellation leaves it unchanged, which distinguishes the two
--- a/src/main/java/org/mountlug/core/model/Objectives.java
+++ b/src/main/java/org/mountlug/core/model/Objectives.java
@@ -66,7 +66,7 @@
         double dueWithinS = dueWithinS(spec, expectedRunS);
         double submittedEpochS = spec.submittedMs() / 1000.0;
         if (spec.isService()) {
-            return submittedEpochS + dueWithinS; // users miss a late service as much as one in time
+            return submittedEpochS + dueWithinS; // a late service keeps its position, as its users need it no less
         }
         double expectedEndEpochS = nowEpochS + expectedRunS;
         // A job with at least half of its tasks placed or done keeps its position for longer, or that work is wasted.
--- a/src/main/java/org/mountlug/core/preempt/Preemptor.java
+++ b/src/main/java/org/mountlug/core/preempt/Preemptor.java
@@ -57,8 +57,9 @@
         lastPreemptionByJobS.keySet().removeIf(jobId -> !cluster.jobs.containsKey(jobId));
         Map<String, Resources> usageAfterStops = null;
         for (Job job : unplacedJobs) {
-            // CPU-only jobs wait in their queues, as CPU machines are plentiful. CPU-only services are preempted for,
-            // because their users miss them from the first second on.
+            // No tasks are stopped here for CPU-only arrays and gangs: they wait in their queues, as CPU machines are
+            // plentiful. For CPU-only services tasks are stopped, because users miss a service from the first second
+            // on.
             if (job.cancelled
                     || job.failureHistory.isSuspected()
                     || job.spec.request().gpus() == 0 && !job.spec.isService()
@@ -229,7 +230,7 @@
                 && (machineView.machine.heldForGang == null || machineView.machine.heldForGang.equals(job.spec.id()));
     }
 
-    /** Returns the tasks of one machine whose stop makes room for one task at the lowest cost, or null if there are none. */
+    /** Returns the tasks of one machine whose stop lets one task fit at the lowest cost, or null if there are none. */
     private List<Placement> findCheapestVictims(
             Job job,
             String zone,
@@ -276,7 +277,7 @@
             Resources available = machineView.futureFree();
             List<Placement> victims = new ArrayList<>();
             Map<String, Resources> freedByTeam = new HashMap<>();
-            // A start must wait for the image to be fetched, so the fetch counts as much as the same time of lost work.
+            // The start has to wait for the image, so seconds of fetching count as much as seconds of lost work.
             double costS = machineView.machine.cachedImages.contains(spec.image())
                     ? 0
                     : spec.imageGb() / Math.max(0.01, machineView.machine.type.fetchGbPerS());
--- a/src/test/java/org/mountlug/Fixtures.java
+++ b/src/test/java/org/mountlug/Fixtures.java
@@ -147,7 +147,7 @@
         return new Report.AttemptStatus(jobId, task, attempt, state, cause, false);
     }
 
-    /** Adds a machine that has reported with {@link #TOKEN} and gets a response at time 0. */
+    /** Adds a machine that has reported with {@link #TOKEN} and whose last response was sent at time 0. */
     public static Machine addMachine(Cluster cluster, String name, String machineType, String zone) {
         cluster.handleReport(report(name, machineType, zone, 1, 1, TOKEN), true, 0);
         Machine machine = cluster.machines.get(name);
--- a/src/test/java/org/mountlug/JobSpecBuilder.java
+++ b/src/test/java/org/mountlug/JobSpecBuilder.java
@@ -29,7 +29,10 @@
         this.id = id;
     }
 
-    /** Creates a builder with the id and the values of another specification. */
+    /**
+     * Creates a builder with the id and the values of another specification; the image, the permission of spot machines and
+     * the time to save a checkpoint are the same for all tests.
+     */
     public static JobSpecBuilder of(JobSpec spec) {
         JobSpecBuilder builder = new JobSpecBuilder(spec.id())
                 .jobClass(spec.jobClass())
--- a/src/test/java/org/mountlug/core/AllocatorTest.java
+++ b/src/test/java/org/mountlug/core/AllocatorTest.java
@@ -55,7 +55,7 @@
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource({"uses an accelerator, 2, 1", "smaller request, 1, 0", "other zone, 2, 0", "same request, 2, 0"})
-    void unplaceableRequestBlocksOnlyLikeJobs(String difference, double cpus, double gpus) {
+    void unplaceableRequestDoesNotBlockDifferentJobs(String difference, double cpus, double gpus) {
         Cluster cluster = Fixtures.cluster();
         Fixtures.addMachine(cluster, "n-1", "gpu", "a");
         Fixtures.addMachine(cluster, "n-2", "small", "a");
--- a/src/test/java/org/mountlug/core/ReplicasTest.java
+++ b/src/test/java/org/mountlug/core/ReplicasTest.java
@@ -196,7 +196,8 @@
     /** Capacity for expected services is rented and kept only after recent submissions of services, and in proportion. */
     @ParameterizedTest(name = "{0} replicas submitted {1} s ago, {2} idle machines: rents {3}, returns {4}")
     @CsvSource({"0, 5, 3, false, 3", "4, 5, 3, false, 2", "4, 500, 3, false, 3", "16, 5, 3, true, 0"})
-    void capacityIsKeptForExpectedServices(int replicas, double agoS, int idleMachines, boolean rents, int returned) {
+    void capacityIsKeptForExpectedServices(
+            int replicas, double submittedAgoS, int idleMachines, boolean rents, int returned) {
         Cluster cluster = Fixtures.cluster();
         for (int i = 0; i < idleMachines; i++) {
             Fixtures.addMachine(cluster, "n-" + (10 + i), "small", "a");
@@ -212,8 +213,8 @@
             machine.lastReportS = 90;
         }
         Scaler scaler = newScaler(cluster);
-        assertEquals(rents, !scaler.planRentals(90, agoS).isEmpty());
-        assertEquals(returned, scaler.planReturns(90, agoS).size());
+        assertEquals(rents, !scaler.planRentals(90, submittedAgoS).isEmpty());
+        assertEquals(returned, scaler.planReturns(90, submittedAgoS).size());
     }
 
     /** A replica never completes, so its machine is not held for a gang and no standby is placed on it. */
--- a/src/test/java/org/mountlug/core/ScalerTest.java
+++ b/src/test/java/org/mountlug/core/ScalerTest.java
@@ -167,10 +167,10 @@
         Fixtures.addJob(cluster, Fixtures.array("wk-000001", 2));
         RentalRequest request = scaler.planRentals(0, 0).get(0);
         scaler.recordRefused(request, 0);
-        for (RentalRequest again : scaler.planRentals(1, 1)) {
-            assertFalse(again.type().equals(request.type())
-                    && again.zone().equals(request.zone())
-                    && again.spot() == request.spot());
+        for (RentalRequest laterRequest : scaler.planRentals(1, 1)) {
+            assertFalse(laterRequest.type().equals(request.type())
+                    && laterRequest.zone().equals(request.zone())
+                    && laterRequest.spot() == request.spot());
         }
     }
 
@@ -213,8 +213,8 @@
     /** The tasks of a gang run at the same time, so a machine that could only run them one after another is not enough. */
     @ParameterizedTest(name = "gang of {0} tasks, {1} machines up: {2} machines rented")
     @CsvSource({"7, 0, 2", "7, 1, 1", "8, 2, 0", "3, 1, 0"})
-    void aGangNeedsMachinesForAllItsTasksAtOnce(int tasks, int up, int rented) {
-        for (int i = 0; i < up; i++) {
+    void aGangNeedsMachinesForAllItsTasksAtOnce(int tasks, int reportingMachines, int rented) {
+        for (int i = 0; i < reportingMachines; i++) {
             Fixtures.addMachine(cluster, "n-" + i, "small", "a");
         }
         Fixtures.addJob(cluster, Fixtures.spec("wk-000001", true, tasks, new Resources(1, 0, 2), Priority.HIGH));
