--- a/src/main/java/org/mountlug/core/allocate/ArrayPlacer.java
+++ b/src/main/java/org/mountlug/core/allocate/ArrayPlacer.java
@@ -24,7 +24,7 @@
     /**
      * Places as many tasks of an array as fit now.
      *
-     * @param overflowing whether the job is overflow: placed only on accelerator machines, of which it may fill the whole
+     * @param overflowing whether to place the tasks only on accelerator machines, which they may then fill entirely
      */
     void place(Job job, boolean overflowing) {
         int maxTasks = maxTasksToPlace(job);
--- a/src/main/java/org/mountlug/core/model/Report.java
+++ b/src/main/java/org/mountlug/core/model/Report.java
@@ -10,7 +10,7 @@
  * @param machineType name of the machine type
  * @param spot whether the machine is a spot machine
  * @param session number of the worker process's session
- * @param sequence number of the report within the session; later reports have higher numbers
+ * @param sequence number of the report; later reports of the same session have higher numbers
  * @param token highest fencing token that the worker has seen
  * @param reclaimInS seconds until the cloud reclaims the machine, {@code NaN} while no reclaim is announced
  */
