--- a/src/main/java/org/mountlug/core/admit/AdmissionCapacity.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionCapacity.java
@@ -7,7 +7,7 @@
  * Each admitted job causes further leader writes later, so what the leader leaves unused at the moment is not
  * sustainable. The sustainable rate therefore starts at the rate of jobs that the state service can take with the
  * minimum number of writes for each, grows by additive increase while the leader leaves enough capacity, and drops at
- * once when the leader leaves less than it.
+ * once when the leader leaves less than that rate.
  */
 public final class AdmissionCapacity {
     private final double writesPerS;
--- a/src/main/java/org/mountlug/core/admit/AdmissionGate.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionGate.java
@@ -6,7 +6,8 @@
 
 /**
  * Decides submissions at one controller by the table that the leader has published. In a limited queue a submission is
- * considered only during its turn, which every controller computes alike. Token buckets keep this controller within
+ * considered only during its turn, a time that every controller computes alike from the queue's
+ * {@link CursorSchedule}. Token buckets keep this controller within
  * its part of the writes per second, both before the leader has learned of a flood and whenever more submissions have
  * their turn at the same time than the capacity allows.
  */
@@ -53,7 +54,7 @@
     /**
      * Replaces the table by the one read from the state service.
      *
-     * @param atS monotonic seconds for which the table is known to be current
+     * @param atS monotonic seconds at which the table is known to have been current
      */
     public void updateTable(AdmissionTable published, double atS) {
         table = published;
--- a/src/main/java/org/mountlug/core/admit/AdmissionPlanner.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionPlanner.java
@@ -34,7 +34,10 @@
     private final Map<QueueId, LimitedQueue> releasedQueues = new HashMap<>();
     private final List<DeferralTransition> transitions = new ArrayList<>();
     private long lastPlanMs = -1;
-    /** Monotonic seconds at which a controller's counts last arrived that do not continue earlier ones. */
+    /**
+     * Monotonic seconds at which counts last arrived that do not continue earlier ones, as their controller was new,
+     * had been restarted or had sent none for a while.
+     */
     private double controllerJoinedAtS = Double.NEGATIVE_INFINITY;
 
     /**
@@ -90,8 +93,8 @@
      * Plans the table for the time from now on.
      *
      * @param allowNewLimits whether further queues may be limited. False just after an outage, when all the users
-     *     whose submissions failed return, which is no flood. Further queues are not limited either just after a
-     *     controller's first counts.
+     *     whose submissions failed return, which is no flood. Even if true, no further queue is limited just after the
+     *     first counts of a controller.
      * @param nowMs epoch milliseconds
      * @param nowS monotonic seconds
      */
@@ -101,7 +104,7 @@
         Map<QueueId, Double> shares = computeShares(capacity.sustainablePerS());
         Set<String> deferredBefore = deferredTeams();
         for (Map.Entry<QueueId, QueueRates> entry : ratesByQueue.entrySet()) {
-            plan(entry.getKey(), entry.getValue(), shares.get(entry.getKey()), mayLimit, nowMs);
+            updateLimit(entry.getKey(), entry.getValue(), shares.get(entry.getKey()), mayLimit, nowMs);
         }
         recordTransitions(deferredBefore, shares);
         Map<QueueId, CursorSchedule> schedules = new HashMap<>();
@@ -150,7 +153,7 @@
         return shares;
     }
 
-    private void plan(QueueId queue, QueueRates rate, double sharePerS, boolean allowNewLimits, long nowMs) {
+    private void updateLimit(QueueId queue, QueueRates rate, double sharePerS, boolean allowNewLimits, long nowMs) {
         LimitedQueue limit = limitedQueues.get(queue);
         double submissionsPerS = rate.submissionsPerS();
         double admittedPerS = sharePerS * Constants.Admission.TARGET_SHARE;
--- a/src/main/java/org/mountlug/core/admit/ArrivalRate.java
+++ b/src/main/java/org/mountlug/core/admit/ArrivalRate.java
@@ -20,7 +20,8 @@
      * Records the submissions that the cursor passed in an interval.
      *
      * @param arrivals how many submissions the cursor passed
-     * @param exposureS laps that the cursor moved, times the seconds' worth of new submissions outstanding on the ring
+     * @param exposureS laps that the cursor moved, times the submissions that a lap holds, given as the seconds in
+     *     which as many new ones are received; {@code arrivals / exposureS} estimates the rate
      * @param elapsedS length of the interval in seconds
      */
     void observe(double arrivals, double exposureS, double elapsedS) {
--- a/src/main/java/org/mountlug/core/admit/CursorSchedule.java
+++ b/src/main/java/org/mountlug/core/admit/CursorSchedule.java
@@ -54,11 +54,12 @@
         long[] values = positions.stream().mapToLong(Long::longValue).toArray();
         for (int i = 1; i < values.length; i++) {
             if (values[i] < values[i - 1]) {
-                throw new IllegalArgumentException("positions of a schedule must not decrease");
+                throw new IllegalArgumentException("positions of a schedule must not decrease, but " + values[i - 1]
+                        + " is followed by " + values[i]);
             }
         }
         if (values.length < 2) {
-            throw new IllegalArgumentException("a schedule needs at least two positions");
+            throw new IllegalArgumentException("a schedule needs at least two positions, but got " + values.length);
         }
         return new CursorSchedule(startedMs, firstStep, values);
     }
--- a/src/main/java/org/mountlug/core/admit/HashRing.java
+++ b/src/main/java/org/mountlug/core/admit/HashRing.java
@@ -4,7 +4,7 @@
 
 /**
  * The ring on which each submission has a slot. The slot depends on the job's id alone, so it is the same at every
- * controller and for every repetition.
+ * controller and for every repetition. A lap is one pass of a queue's cursor over all slots.
  */
 public final class HashRing {
     /** Number of slots on the ring. */
--- a/src/main/java/org/mountlug/core/admit/LimitedQueue.java
+++ b/src/main/java/org/mountlug/core/admit/LimitedQueue.java
@@ -8,14 +8,15 @@
  * much later.
  */
 final class LimitedQueue {
+    /** A lap takes at least as long as a turn. */
     private static final double MAX_LAPS_PER_STEP =
             CursorSchedule.STEP_MS / (double) Constants.Admission.TURN_DURATION_MS;
 
     private static final long NOT_RELEASABLE = -1;
 
     /**
-     * Epoch milliseconds before which arrivals are ignored: controllers still counted for a queue without a limit, or
-     * a new leader has not received the counts of all controllers.
+     * Epoch milliseconds before which arrivals are ignored: until then some controllers still count as for a queue
+     * without a limit, or a new leader has not received the counts of all controllers.
      */
     private final long countsFromMs;
 
--- a/src/main/java/org/mountlug/core/admit/QueueRates.java
+++ b/src/main/java/org/mountlug/core/admit/QueueRates.java
@@ -13,7 +13,7 @@
     private boolean throttledInLatestInterval;
     private double intervalArrivals;
 
-    /** Adds what a controller has counted since its last report. */
+    /** Adds what a controller has counted since its counts were last received. */
     void add(QueueDemand counted) {
         pendingSubmissions += counted.submissions();
         pendingArrivals += counted.arrivals();
--- a/src/main/java/org/mountlug/core/admit/TeamTokenBuckets.java
+++ b/src/main/java/org/mountlug/core/admit/TeamTokenBuckets.java
@@ -137,7 +137,10 @@
     }
 
     /**
-     * Charges a write that does not wait for a token. Submissions wait until the debt is repaid; the debt is bounded.
+     * Charges a write that does not wait for a token. Submissions wait until the debt is repaid; the debt is at most
+     * what a full shared bucket holds.
+     *
+     * @param ratePerS tokens per second, from which the content of a full shared bucket is computed
      */
     void charge(double ratePerS) {
         sharedBucket.tokens = Math.max(-burstTokens(ratePerS), sharedBucket.tokens - 1);
--- a/src/main/java/org/mountlug/settings/ControllerSizing.java
+++ b/src/main/java/org/mountlug/settings/ControllerSizing.java
@@ -5,13 +5,13 @@
 import org.mountlug.Constants;
 
 /**
- * Checks whether a machine is large enough for a controller. A limit that is too low ends the start with the name of
- * the setting, instead of a failure later under the load that first needs more.
+ * Checks whether a machine is large enough for a controller. If a limit is too low, the start fails with the name of
+ * the setting, instead of the controller failing later under the load that first needs more.
  */
 public final class ControllerSizing {
     private ControllerSizing() {}
 
-    /** Returns the sockets that a controller opens or accepts without those of workers. */
+    /** Returns the number of sockets that a controller opens or accepts, not counting those of workers. */
     public static int ownSockets(Settings settings) {
         return Constants.STATE_CONNECTIONS
                 + Constants.WATCH_CONNECTIONS
--- a/src/main/java/org/mountlug/settings/Settings.java
+++ b/src/main/java/org/mountlug/settings/Settings.java
@@ -17,6 +17,14 @@
  * smaller ones of {@code state} and {@code state.next}, as the latter take effect without notice. Only
  * {@code currentValueLimitKb} is the limit of {@code state} alone: it applies while records must be readable by
  * versions that cannot read records split into smaller ones.
+ *
+ * @param maxClockSkewMs the most by which a controller's clock differs from the true time
+ * @param cancelWithinS seconds within which the tasks of a cancelled job must have ended
+ * @param stateRps requests per second that the state service accepts from all controllers together
+ * @param stateWriteRps writes per second that the state service accepts
+ * @param txnOps writes that one transaction may have
+ * @param cloudRps requests per second that the cloud accepts
+ * @param cloudListLagS seconds by which the cloud's machine list may be out of date
  */
 public record Settings(
         String label,
@@ -47,7 +55,13 @@
     /** Another controller and the address at which it answers its peers. */
     public record Peer(String label, String endpoint) {}
 
-    /** An objective of the platform for a job class: {@code kind} is wait, finished or deadline. */
+    /**
+     * An objective of the platform for a job class.
+     *
+     * @param kind wait, finished or deadline
+     * @param withinS seconds; {@code NaN} if the setting is missing
+     * @param share {@code NaN} if the setting is missing
+     */
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
     /** Reports a missing or invalid setting by its path. */
@@ -195,7 +209,7 @@
         double positive(String name) throws InvalidSettingException {
             double number = number(name, 0, Double.NaN);
             if (number <= 0) {
-                throw new InvalidSettingException(path + name, "must be above 0");
+                throw new InvalidSettingException(path + name, "must be above 0, but is " + number);
             }
             return number;
         }
@@ -219,7 +233,7 @@
             }
             double checked = number.doubleValue();
             if (!Double.isFinite(checked) || checked < min) {
-                throw new InvalidSettingException(path + name, "must be at least " + min);
+                throw new InvalidSettingException(path + name, "must be at least " + min + ", but is " + checked);
             }
             return checked;
         }
--- a/src/main/java/org/mountlug/settings/SettingsSection.java
+++ b/src/main/java/org/mountlug/settings/SettingsSection.java
@@ -48,7 +48,7 @@
     int integer(String field, int min, int max, int defaultValue) throws Settings.InvalidSettingException {
         double number = number(field, min, max, defaultValue);
         if (number != Math.rint(number)) {
-            throw invalid(field, "must be a whole number");
+            throw invalid(field, "must be a whole number, but is " + number);
         }
         return (int) number;
     }
--- a/src/main/java/org/mountlug/settings/ZoneSettingsReader.java
+++ b/src/main/java/org/mountlug/settings/ZoneSettingsReader.java
@@ -61,17 +61,22 @@
 
     private static void checkThresholdOrder(ZoneThresholds thresholds) throws Settings.InvalidSettingException {
         if (thresholds.clearShare() >= thresholds.suspectShare()) {
-            throw new Settings.InvalidSettingException("zones.clear_share", "must be below zones.suspect_share");
+            throw new Settings.InvalidSettingException(
+                    "zones.clear_share", "must be below zones.suspect_share, which is " + thresholds.suspectShare());
         }
         if (thresholds.suspectShare() >= thresholds.lostShare()) {
-            throw new Settings.InvalidSettingException("zones.suspect_share", "must be below zones.lost_share");
+            throw new Settings.InvalidSettingException(
+                    "zones.suspect_share", "must be below zones.lost_share, which is " + thresholds.lostShare());
         }
         if (thresholds.returnShare() <= 1 - thresholds.lostShare()) {
-            throw new Settings.InvalidSettingException("zones.return_share", "must be above 1 - zones.lost_share");
+            throw new Settings.InvalidSettingException(
+                    "zones.return_share",
+                    "must be above 1 - zones.lost_share, where zones.lost_share is " + thresholds.lostShare());
         }
         if (thresholds.returnAfterS() > thresholds.maxReturnAfterS()) {
             throw new Settings.InvalidSettingException(
-                    "zones.return_after_s", "must be at most zones.return_after_most_s");
+                    "zones.return_after_s",
+                    "must be at most zones.return_after_most_s, which is " + thresholds.maxReturnAfterS());
         }
     }
 
--- a/src/main/java/org/mountlug/store/AdmissionCodec.java
+++ b/src/main/java/org/mountlug/store/AdmissionCodec.java
@@ -13,9 +13,9 @@
 import org.mountlug.wire.Fields;
 
 /**
- * Encodes the published admission table in as many records as its queues need under the value limit. All records of a
- * table carry the time at which it was published. A record with an earlier time remains from a previous table that
- * needed more records, and is ignored.
+ * Encodes the published admission table in as many records as its queues need under the value limit, which is the
+ * state service's limit on the size of a value. All records of a table carry the time at which it was published. A
+ * record with an earlier time remains from a previous table that needed more records, and is ignored.
  */
 public final class AdmissionCodec {
     private static final String ISSUED_MS = "t";
@@ -31,7 +31,7 @@
     /** Characters of a queue in addition to its names and positions. */
     private static final int QUEUE_OVERHEAD_CHARS = 70;
 
-    /** Characters of a position, for a difference of up to a lap. */
+    /** Characters of a position with its comma, stored as a difference of at most one lap of the ring. */
     private static final int POSITION_CHARS = 8;
 
     private AdmissionCodec() {}
--- a/src/main/java/org/mountlug/store/ImageIndexCodec.java
+++ b/src/main/java/org/mountlug/store/ImageIndexCodec.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import org.mountlug.core.cluster.Machine;
 
-/** Encodes the image index, which lists the images of each machine, as shards within the value limit. */
+/**
+ * Encodes the image index, which lists the images of each machine, as shards within the state service's limit on the
+ * size of a value.
+ */
 public final class ImageIndexCodec {
     /** Images listed for one machine; the latest ones are kept. */
     private static final int MAX_IMAGES_PER_MACHINE = 8;
--- a/src/main/java/org/mountlug/store/JobRecordCodec.java
+++ b/src/main/java/org/mountlug/store/JobRecordCodec.java
@@ -20,12 +20,13 @@
  * Encodes the records of jobs in the state service. Finished tasks are written as ranges or as a bit set, and placed
  * tasks as runs by machine. A job whose tasks might not fit into one record keeps the first ones in its main record
  * and the others in parts of a fixed number of tasks each ({@link #layoutFor}), so that every task belongs to one
- * record and no record can exceed the value limit. The main record remains the point of serialisation: each write of a
- * part also writes the main record, and so fails if that write conflicts.
+ * record and no record can exceed the value limit, which is the state service's limit on the size of a value. The main
+ * record remains the point of serialisation: each write of a part also writes the main record, and so fails if that
+ * write conflicts.
  *
- * <p>Versions before parts know only the main record, so parts are written only when no controller runs such a
- * version; a field of a record that they do not know is lost when they write the record back. {@code docs/design.md}
- * lists what is compatible.
+ * <p>Versions before parts, which are those released before records were split, know only the main record, so parts
+ * are written only when no controller runs such a version. A field of a record that these versions do not know is lost
+ * when they write the record back. {@code docs/design.md} lists what is compatible.
  */
 public final class JobRecordCodec {
     /** Field of a live record that is true when its user has cancelled the job. */
@@ -159,7 +160,8 @@
 
     /**
      * Returns the layout with which no record of a job exceeds {@code maxChars}, wherever its tasks are and however
-     * they end; the worst case is every task on its own machine and every second one done.
+     * they end; the worst case is every task on its own machine and every second one done. Each task takes one bit of
+     * the bit set of done tasks, which is a sixth of a Base64 character.
      */
     public static PartLayout layoutFor(JobSpec spec, int maxChars, int machineNameChars) {
         double charsPerTask =
--- a/src/main/java/org/mountlug/store/StateClient.java
+++ b/src/main/java/org/mountlug/store/StateClient.java
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Whether the state service is available: since the last successful request none was sent that got no response or
-     * 503.
+     * Whether the state service is available: no request that got 503 or no response was sent after the one at
+     * {@link #lastServedS}.
      */
     public boolean isServed() {
         return lastServedS >= lastUnavailableS;
--- a/src/main/java/org/mountlug/store/StateKeys.java
+++ b/src/main/java/org/mountlug/store/StateKeys.java
@@ -26,7 +26,10 @@
     public static final String IMAGE_INDEX_SHARDS = "i/";
     /** What each controller can read, by the controller's label. */
     public static final String VERSIONS = "v/";
-    /** How many worker reports each follower receives that cannot reach the leader directly, by the follower's label. */
+    /**
+     * The number of worker reports that came to a follower that cannot reach the leader directly, by the follower's
+     * label.
+     */
     public static final String REPORT_COUNTS = "h/";
     /** The zones' state, which the production version does not read. */
     public static final String ZONES = "zones";
--- a/src/test/java/org/mountlug/core/admit/AdmissionGateTest.java
+++ b/src/test/java/org/mountlug/core/admit/AdmissionGateTest.java
@@ -121,7 +121,7 @@
 
     /**
      * The counts of a restarted controller process are not compared with those of the earlier one, and a controller
-     * that does not report is assumed to receive as many submissions as the others.
+     * that sends no counts is assumed to receive as many submissions as the others.
      */
     @Test
     void demandIsExtrapolatedFromReportingControllers() {
--- a/src/test/java/org/mountlug/settings/SettingsTest.java
+++ b/src/test/java/org/mountlug/settings/SettingsTest.java
@@ -101,7 +101,7 @@
     }
 
     /**
-     * A limit that is too low for a controller ends the start with an error that names the field; a limit that may be
+     * If a limit is too low for a controller, the start fails with an error that names the field; a limit that may be
      * too low only causes a notice.
      */
     @ParameterizedTest(name = "{0} file descriptors, {1} MB, heap {2} MB: {3}")
--- a/src/test/java/org/mountlug/store/JobRecordCodecTest.java
+++ b/src/test/java/org/mountlug/store/JobRecordCodecTest.java
@@ -50,8 +50,8 @@
     }
 
     /**
-     * No record exceeds the value limit, on whatever machines tasks are placed up to the number that the record can
-     * take, and in whatever order they end.
+     * No record exceeds the value limit, whichever machines the tasks are placed on and in whatever order they end, as
+     * long as no more tasks are placed than {@link Cluster#remainingRecordTasks} allows.
      */
     @ParameterizedTest(name = "{0} tasks, {1} per machine, ending tasks: {2}")
     @CsvSource({
