--- a/src/test/java/org/mountlug/node/CancellationFaultsTest.java
+++ b/src/test/java/org/mountlug/node/CancellationFaultsTest.java
@@ -285,7 +285,7 @@
         "ended, new leader",
         "ended, leader refused"
     })
-    void noControllerGivesAnOlderAnswer(String jobEvent, String fault) {
+    void noControllerGivesAnOlderResponse(String jobEvent, String fault) {
         SimulatedCluster cluster = new SimulatedCluster(3);
         cluster.taskDurationS = 3;
         cluster.submitUntilAccepted(jobId(99), 4, false);
@@ -425,8 +425,8 @@
     }
 
     /**
-     * Two teams use all of their limits, some of their machines are cut off or hang, jobs are cancelled meanwhile, and the
-     * leader changes: no team exceeds its limit.
+     * Two teams are at their limits, some of their machines are cut off or hang, jobs are cancelled meanwhile, and the
+     * leader changes: no team exceeds its limit. A leader that restarts at -1 s does so before the machines fail.
      */
     @ParameterizedTest(name = "machines {0} for {1} s, leader restarts {2} s after the cancellations, {3}")
     @CsvSource({
@@ -563,7 +563,7 @@
 
     /**
      * Four one-task jobs a second are submitted, a quarter of them is cancelled and a third submitted again, while leaders
-     * change: the requests to the state service stay within its rate limits.
+     * change: at most five requests exceed the rate limits of the state service.
      */
     @Test
     void manyOneTaskJobsWithAQuarterCancelled() {
@@ -607,7 +607,8 @@
         cluster.runFor(66);
         assertTrue(cluster.acceptedJobs().size() > 150);
         assertTrue(cluster.cancelAcknowledgedAtS.size() > 30);
-        // About eight writes a second are for users and as many for running the jobs: each has its part of the limit.
+        // About eight writes a second come from users' requests and as many from running the jobs. Both have their own
+        // part of the rate limit.
         assertTrue(
                 cluster.stateService.rateLimitedRequests <= 5,
                 () -> cluster.stateService.rateLimitedRequests + " requests were over the limits");
--- a/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
+++ b/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
@@ -320,8 +320,8 @@
     }
 
     /**
-     * More work of high and low priority than the machines hold, over slow links, while the leader may restart: services of
-     * high priority displace idle work.
+     * More work than the machines hold, over slow links, while the leader may restart: services of priority prod displace
+     * jobs of priority idle.
      */
     @ParameterizedTest(name = "commands delayed by {0} s, leader restarts {1}")
     @CsvSource({"0.3, false", "0.8, true", "1.2, false"})
@@ -350,7 +350,10 @@
         }
         cluster.runFor(20);
         for (int i = 12; i <= 14; i += 2) {
-            assertEquals(6, activeTaskCount(cluster, jobId(i)), "services of high priority have displaced idle work");
+            assertEquals(
+                    6,
+                    activeTaskCount(cluster, jobId(i)),
+                    "services of priority prod have displaced jobs of priority idle");
         }
         cluster.commandDelayS = 0;
         cluster.stateService.extraLatencyS = 0;
--- a/src/test/java/org/mountlug/node/ServicesTest.java
+++ b/src/test/java/org/mountlug/node/ServicesTest.java
@@ -64,16 +64,16 @@
     })
     void replicasAreRestarted(String fault, double timeoutS) {
         SimulatedCluster cluster = startService(6);
-        SimulatedCluster.Worker affected = workerWithReplica(cluster);
+        SimulatedCluster.Worker affectedWorker = workerWithReplica(cluster);
         switch (fault) {
             case "done", "stopped", "error" -> {
                 cluster.replicaExitCause = ExitCause.valueOf(fault.toUpperCase());
                 assertTrue(cluster.runUntil(30, () -> runningReplicas(cluster).size() < 6));
                 cluster.replicaExitCause = null;
             }
-            case "machine is lost" -> affected.crash();
-            case "machine cut off" -> affected.disconnected = true;
-            case "machine faulty" -> affected.failsAllTasks = true;
+            case "machine is lost" -> affectedWorker.crash();
+            case "machine cut off" -> affectedWorker.disconnected = true;
+            case "machine faulty" -> affectedWorker.failsAllTasks = true;
             case "leader is restarted" -> cluster.leader().restartAfter(6);
             case "all controllers restart" -> cluster.controllers.forEach(controller -> controller.restartAfter(1));
             case "all controllers down for longer than a lease" ->
@@ -84,12 +84,15 @@
             }
         }
         cluster.runFor(2);
-        // An unreachable machine may run its replicas until its lease expires; these do not count.
+        // An unreachable machine may run its replicas until its worker lease expires, so the affected machine must run
+        // none any more.
         assertTrue(
                 cluster.runUntil(
                         timeoutS,
                         () -> runningReplicas(cluster).size() == 6
-                                && (!fault.startsWith("machine") || affected.tasks.isEmpty() || affected.terminated)),
+                                && (!fault.startsWith("machine")
+                                        || affectedWorker.tasks.isEmpty()
+                                        || affectedWorker.terminated)),
                 () -> runningReplicas(cluster) + " run after " + fault);
         assertTrue(cluster.runUntil(8, () -> "running".equals(cluster.pollStatus(SERVICE_ID, 5))));
         assertEquals(List.of(), cluster.violations());
@@ -124,7 +127,10 @@
         assertEquals(List.of(), cluster.violations());
     }
 
-    /** A service that is cancelled during a fault is withdrawn, its replicas stop by the deadline, and it stays withdrawn. */
+    /**
+     * A service that is cancelled during a fault gets the status withdrawn and keeps it, and its replicas stop by the
+     * deadline.
+     */
     @ParameterizedTest(name = "{0}")
     @ValueSource(
             strings = {
