--- a/src/test/java/org/mountlug/node/ObservabilityTest.java
+++ b/src/test/java/org/mountlug/node/ObservabilityTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.mountlug.core.cluster.EventSummary;
 
-/** What an operator on call can tell from the log and the meters. */
+/** The log and the metrics show an operator which fault is present. */
 class ObservabilityTest {
-    private static String id(int number) {
+    private static String jobId(int number) {
         return String.format("wk-%06d", number);
     }
 
-    /** Hundreds of tasks that fall together are one line, with their number. */
+    /** Equal events of many tasks make one log line with their number; otherwise one fault could flood the log. */
     @Test
-    void eventsOfAKindAreOneLine() {
+    void equalEventsAreSummarizedInOneLine() {
         EventSummary events = new EventSummary();
         for (int i = 0; i < 173; i++) {
             events.add("lost of wk-000001, exited ERROR", "wk-000001/" + i);
@@ -32,14 +32,14 @@
         assertEquals(174, events.detailLines().size());
     }
 
-    /** One state, one change, one line: not one for each request that was refused. */
+    /** The overload lasts until no request has been refused for a while, so that the log has no line for each refusal. */
     @Test
-    void anOverloadIsNotedOnceAndEndsOnce() {
+    void anOverloadBeginsAndEndsOnce() {
         OverloadLog log = new OverloadLog();
         log.observe(0, 1);
         assertFalse(log.isOverloaded());
-        for (int t = 2; t < 30; t++) {
-            log.observe(t * 50, t);
+        for (int timeS = 2; timeS < 30; timeS++) {
+            log.observe(timeS * 50, timeS);
             assertTrue(log.isOverloaded());
         }
         log.observe(29 * 50, 35);
@@ -48,7 +48,7 @@
         assertFalse(log.isOverloaded());
     }
 
-    /** Each trouble shows in a meter of its own, so that one can be told from another. */
+    /** Each kind of fault raises its own metric, so that operators can tell faults apart. */
     @ParameterizedTest(name = "{0}")
     @CsvSource({
         "failing job, mountlug_jobs_suspected",
@@ -57,46 +57,48 @@
         "machines cut off, mountlug_machines_silent",
         "machines that never boot, mountlug_machines_booting",
         "no capacity, mountlug_rentals_refused_total",
-        "standstill, mountlug_standstills_total",
+        "process pause, mountlug_standstills_total",
         "outage beside a silent peer, mountlug_reports_unanswered_total",
     })
-    void eachTroubleShowsInItsMeter(String trouble, String meter) {
-        SimulatedCluster world = new SimulatedCluster(3);
-        world.taskDurationS = 15;
-        world.cloud.capacity = 8;
-        world.submitUntilAccepted(id(1), 400, false);
-        assertTrue(world.runUntil(60, () -> world.workers.size() == 8 && world.isRunning(id(1))));
-        world.runFor(6);
-        SimulatedCluster.ControllerProcess leader = world.leader();
-        double quiet = value(leader, meter);
-        switch (trouble) {
+    void eachFaultShowsInItsMetric(String fault, String metric) {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.taskDurationS = 15;
+        cluster.cloud.capacity = 8;
+        cluster.submitUntilAccepted(jobId(1), 400, false);
+        assertTrue(cluster.runUntil(60, () -> cluster.workers.size() == 8 && cluster.isRunning(jobId(1))));
+        cluster.runFor(6);
+        SimulatedCluster.ControllerProcess leader = cluster.leader();
+        double valueBefore = readMetric(leader, metric);
+        switch (fault) {
             case "failing job" -> {
-                world.failingJobs.add(id(2));
-                world.submitUntilAccepted(id(2), 24, false, java.util.Map.of("urgency", "prod"));
+                cluster.failingJobs.add(jobId(2));
+                cluster.submitUntilAccepted(jobId(2), 24, false, java.util.Map.of("urgency", "prod"));
             }
-            case "faulty machine" -> world.workers.values().iterator().next().failsAllTasks = true;
-            case "machines cut off" -> world.workers.values().forEach(worker -> worker.disconnected = true);
+            case "faulty machine" -> cluster.workers.values().iterator().next().failsAllTasks = true;
+            case "machines cut off" -> cluster.workers.values().forEach(worker -> worker.disconnected = true);
             case "machines that never boot" -> {
-                world.cloud.capacity = 30;
-                world.machineBootS = 1000;
-                world.submitUntilAccepted(id(2), 80, false);
+                cluster.cloud.capacity = 30;
+                cluster.machineBootS = 1000;
+                cluster.submitUntilAccepted(jobId(2), 80, false);
             }
-            case "no capacity" -> world.submitUntilAccepted(id(2), 400, false);
-            case "standstill" -> leader.pause(3);
+            case "no capacity" -> cluster.submitUntilAccepted(jobId(2), 400, false);
+            case "process pause" -> leader.pause(3);
             default -> {
-                world.stateService.outage = true;
+                cluster.stateService.outage = true;
                 leader.cutFromPeers = true;
             }
         }
-        assertTrue(world.runUntil(40, () -> value(leader, meter) > quiet), "from " + quiet);
+        assertTrue(
+                cluster.runUntil(40, () -> readMetric(leader, metric) > valueBefore),
+                "the metric did not rise above " + valueBefore);
     }
 
-    private static double value(SimulatedCluster.ControllerProcess node, String meter) {
-        for (String line : node.controller.metrics().scrape().split("\n")) {
-            if (line.startsWith(meter + " ")) {
-                return Double.parseDouble(line.substring(meter.length() + 1));
+    private static double readMetric(SimulatedCluster.ControllerProcess controller, String metric) {
+        for (String line : controller.controller.metrics().scrape().split("\n")) {
+            if (line.startsWith(metric + " ")) {
+                return Double.parseDouble(line.substring(metric.length() + 1));
             }
         }
-        throw new AssertionError("no meter " + meter);
+        throw new AssertionError("missing metric: " + metric);
     }
 }
--- a/src/test/java/org/mountlug/node/ZoneLoopbackTest.java
+++ b/src/test/java/org/mountlug/node/ZoneLoopbackTest.java
@@ -16,157 +16,177 @@
 import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
 
-/** Three zones, three controllers over sockets: one zone is cut off and joined again. Nothing is asserted of speed. */
+/**
+ * Three controllers on loopback sockets and machines in three zones, of which zone a is isolated and connected again. Its jobs
+ * must finish in the other zones, and it must get new work at the pace of the ramp. Speed is not asserted.
+ */
 class ZoneLoopbackTest {
-    private static final int MACHINES_A_ZONE = 4;
-    private static final int JOBS = 6;
-    private static final double WAIT_S = 60;
+    private static final int MACHINES_PER_ZONE = 4;
+    private static final int JOB_COUNT = 6;
+    private static final double TIMEOUT_S = 60;
     private static final ZoneSettings SETTINGS = new ZoneSettings(
             true, List.of(), new ZoneThresholds(3, 0.5, 0.8, 0.25, 0.5, 1, 2, 8, 60), new RampSettings(0.1, 0.1, 1));
 
-    private static SimulatedCluster world(OperatorSettings operators) {
-        SimulatedCluster world =
+    private static SimulatedCluster createSimulation(OperatorSettings operators) {
+        SimulatedCluster simulation =
                 new SimulatedCluster(0, List.of(new Team("t", 0, 0, 0, 0, 1)), 5, false, 8, 8, operators);
-        world.cloud.zones = List.copyOf(ZoneScenario.ZONES);
-        world.cloud.zonesRefusingRentals.addAll(ZoneScenario.ZONES);
-        world.taskDurationS = 4;
-        return world;
+        simulation.cloud.zones = List.copyOf(ZoneScenario.ZONES);
+        simulation.cloud.zonesRefusingRentals.addAll(ZoneScenario.ZONES);
+        simulation.taskDurationS = 4;
+        return simulation;
     }
 
-    private static void inside(SimulatedCluster world, boolean is) {
-        for (SimulatedCluster.Worker worker : world.workers.values()) {
-            worker.inIsolatedZone = is && worker.zone.equals("a");
+    private static void setZoneIsolated(SimulatedCluster simulation, boolean isolated) {
+        for (SimulatedCluster.Worker worker : simulation.workers.values()) {
+            worker.inIsolatedZone = isolated && worker.zone.equals("a");
         }
     }
 
-    private static boolean state(LoopbackCluster cluster, ZoneState state) {
+    private static boolean isInState(LoopbackCluster cluster, ZoneState state) {
         return cluster.zoneMetric("mountlug_zone_state", "a") == state.ordinal();
     }
 
-    private static boolean await(LoopbackCluster cluster, ZoneState state) {
-        for (int i = 0; i < 10 * WAIT_S && !state(cluster, state); i++) {
+    private static boolean awaitState(LoopbackCluster cluster, ZoneState state) {
+        for (int i = 0; i < 10 * TIMEOUT_S && !isInState(cluster, state); i++) {
             cluster.waitUntil(0.1, () -> false);
         }
-        return state(cluster, state);
+        return isInState(cluster, state);
     }
 
     @Test
     void aZoneIsLostAndReturns() throws IOException, Settings.InvalidSettingException {
         OperatorSettings operators = OperatorSettings.defaults().withZones(SETTINGS);
-        SimulatedCluster world = world(operators);
-        try (LoopbackCluster cluster = new LoopbackCluster(world, operators, 3)) {
-            synchronized (world) {
-                for (int i = 0; i < MACHINES_A_ZONE; i++) {
+        SimulatedCluster simulation = createSimulation(operators);
+        try (LoopbackCluster cluster = new LoopbackCluster(simulation, operators, 3)) {
+            synchronized (simulation) {
+                for (int i = 0; i < MACHINES_PER_ZONE; i++) {
                     for (String zone : ZoneScenario.ZONES) {
-                        cluster.openCommandEndpoint(world.addMachine(zone));
+                        cluster.openCommandEndpoint(simulation.addMachine(zone));
                     }
                 }
             }
             assertTrue(cluster.submitUntilAccepted(jobId(1), 4, Map.of("lane", "proofs", "urgency", "high")));
-            for (int job = 2; job <= JOBS - 1; job++) {
+            for (int job = 2; job <= JOB_COUNT - 1; job++) {
                 assertTrue(cluster.submitUntilAccepted(jobId(job), 40, Map.of("lane", "parts", "urgency", "standard")));
             }
-            assertTrue(cluster.waitUntil(WAIT_S, () -> world.startLog.size() >= 48), "all machines have work");
-            assertTrue(cluster.submitUntilAccepted(jobId(JOBS), 30, Map.of("lane", "proofs", "urgency", "high")));
-            double cutAt;
-            synchronized (world) {
-                cutAt = world.nowS;
-                inside(world, true);
+            assertTrue(cluster.waitUntil(TIMEOUT_S, () -> simulation.startLog.size() >= 48), "all machines run tasks");
+            assertTrue(cluster.submitUntilAccepted(jobId(JOB_COUNT), 30, Map.of("lane", "proofs", "urgency", "high")));
+            double isolatedAtS;
+            synchronized (simulation) {
+                isolatedAtS = simulation.nowS;
+                setZoneIsolated(simulation, true);
             }
-            assertTrue(await(cluster, ZoneState.LOST));
-            double joinedAt;
-            double lostAt;
-            synchronized (world) {
-                lostAt = world.nowS;
+            assertTrue(awaitState(cluster, ZoneState.LOST));
+            double rejoinedAtS;
+            double lostAtS;
+            synchronized (simulation) {
+                lostAtS = simulation.nowS;
             }
             cluster.waitUntil(4, () -> false);
-            synchronized (world) {
-                assertEquals(0, startsInZone(world, lostAt));
+            synchronized (simulation) {
+                assertEquals(0, countStartsInZone(simulation, lostAtS));
                 double delayS = ZoneScenario.START_DELAY_S + 2 * cluster.longestClockStepS();
-                assertEquals(0, inversions(world, cutAt, delayS), "urgent work went first");
-                inside(world, false);
-                joinedAt = world.nowS;
+                assertEquals(
+                        0,
+                        countPriorityInversions(simulation, isolatedAtS, delayS),
+                        "starts of lower priority while high-priority tasks waited");
+                setZoneIsolated(simulation, false);
+                rejoinedAtS = simulation.nowS;
             }
-            paced(cluster, joinedAt);
-            finish(cluster);
-            synchronized (world) {
-                assertEquals(List.of(), world.violations());
+            assertStartsFollowRamp(cluster, rejoinedAtS);
+            assertAllJobsFinish(cluster);
+            synchronized (simulation) {
+                assertEquals(List.of(), simulation.violations());
             }
         }
     }
 
-    private static long startsInZone(SimulatedCluster world, double from) {
-        return world.startLog.stream()
-                .filter(start -> start.zone().equals("a") && start.atS() >= from)
+    private static long countStartsInZone(SimulatedCluster simulation, double fromS) {
+        return simulation.startLog.stream()
+                .filter(start -> start.zone().equals("a") && start.atS() >= fromS)
                 .count();
     }
 
-    /** Bulk starts between the time from which urgent tasks certainly waited and the start of the last of these. */
-    private static long inversions(SimulatedCluster world, double cutAt, double delayS) {
-        double openFrom = cutAt + world.workerLeaseS + delayS;
-        List<String> urgent = List.of(jobId(1), jobId(JOBS));
-        double lastUrgent = world.startLog.stream()
-                .filter(start -> urgent.contains(start.jobId()))
+    /**
+     * Counts starts of standard priority while high-priority tasks waited: from the time when the workers' leases in the
+     * isolated zone have certainly ended until the last start of a high-priority task.
+     *
+     * @param delayS time within which a decided start takes effect
+     */
+    private static long countPriorityInversions(SimulatedCluster simulation, double isolatedAtS, double delayS) {
+        double waitingFromS = isolatedAtS + simulation.workerLeaseS + delayS;
+        List<String> highPriorityJobs = List.of(jobId(1), jobId(JOB_COUNT));
+        double lastHighPriorityStartS = simulation.startLog.stream()
+                .filter(start -> highPriorityJobs.contains(start.jobId()))
                 .mapToDouble(SimulatedCluster.TaskStart::atS)
                 .max()
                 .orElse(0);
-        return world.startLog.stream()
-                .filter(start -> !urgent.contains(start.jobId()) && start.atS() > openFrom)
-                .filter(start -> start.atS() < lastUrgent - delayS)
+        return simulation.startLog.stream()
+                .filter(start -> !highPriorityJobs.contains(start.jobId()) && start.atS() > waitingFromS)
+                .filter(start -> start.atS() < lastHighPriorityStartS - delayS)
                 .count();
     }
 
-    /** While the zone returns, starts there keep to what the ramp can have admitted by then, and some do take place. */
-    private static void paced(LoopbackCluster cluster, double joinedAt) {
-        SimulatedCluster world = cluster.simulation;
-        assertTrue(await(cluster, ZoneState.RETURNING), "the ramp takes three seconds at the least");
-        while (state(cluster, ZoneState.RETURNING)) {
-            double window = cluster.zoneMetric("mountlug_zone_ramp_starts", "a");
-            assertTrue(Double.isNaN(window) || window <= MACHINES_A_ZONE, "window " + window);
-            synchronized (world) {
-                long starts = startsInZone(world, joinedAt);
-                assertTrue(starts <= admitted(world.nowS - joinedAt), starts + " starts");
+    /** Asserts that the zone gets no more starts than the ramp allows while it returns, and that it gets some. */
+    private static void assertStartsFollowRamp(LoopbackCluster cluster, double rejoinedAtS) {
+        SimulatedCluster simulation = cluster.simulation;
+        assertTrue(awaitState(cluster, ZoneState.RETURNING), "zone a returns; the ramp takes at least three seconds");
+        while (isInState(cluster, ZoneState.RETURNING)) {
+            double rampStarts = cluster.zoneMetric("mountlug_zone_ramp_starts", "a");
+            assertTrue(
+                    Double.isNaN(rampStarts) || rampStarts <= MACHINES_PER_ZONE,
+                    "starts allowed by the ramp: " + rampStarts);
+            synchronized (simulation) {
+                long starts = countStartsInZone(simulation, rejoinedAtS);
+                assertTrue(
+                        starts <= maxAdmittedStarts(simulation.nowS - rejoinedAtS),
+                        "starts in the returning zone: " + starts);
             }
             cluster.waitUntil(0.2, () -> false);
         }
-        assertTrue(await(cluster, ZoneState.PRESENT));
-        assertTrue(cluster.waitUntil(WAIT_S, () -> startsInZone(world, joinedAt) > 0), "work does return");
+        assertTrue(awaitState(cluster, ZoneState.PRESENT));
+        assertTrue(
+                cluster.waitUntil(TIMEOUT_S, () -> countStartsInZone(simulation, rejoinedAtS) > 0),
+                "the zone gets new starts");
     }
 
-    /** The window begins with one and grows by one a second; rounds may come twice a second if somebody waits by the second. */
-    private static double admitted(double seconds) {
+    /**
+     * Returns the most starts that the ramp can have admitted. It allows one start at first and one more each second, and
+     * there may be two scheduling rounds a second while tasks wait.
+     */
+    private static double maxAdmittedStarts(double durationS) {
         double sum = 0;
-        for (int second = 0; second <= seconds; second++) {
-            sum += 2 * Math.min(MACHINES_A_ZONE, 1 + second);
+        for (int second = 0; second <= durationS; second++) {
+            sum += 2 * Math.min(MACHINES_PER_ZONE, 1 + second);
         }
         return sum;
     }
 
-    /** Every job gets one final outcome, at whichever controller it is asked for. */
-    private static void finish(LoopbackCluster cluster) {
-        SimulatedCluster world = cluster.simulation;
-        for (int i = 0; i < 3 * WAIT_S; i++) {
-            for (int job = 1; job <= JOBS; job++) {
+    /** Asserts that every job is done, and that every controller says so. */
+    private static void assertAllJobsFinish(LoopbackCluster cluster) {
+        SimulatedCluster simulation = cluster.simulation;
+        for (int i = 0; i < 3 * TIMEOUT_S; i++) {
+            for (int job = 1; job <= JOB_COUNT; job++) {
                 cluster.poll(i + job, jobId(job));
             }
-            boolean all = cluster.waitUntil(0.5, () -> {
-                for (int job = 1; job <= JOBS; job++) {
-                    if (world.outcome(jobId(job)) == null) {
+            boolean allFinished = cluster.waitUntil(0.5, () -> {
+                for (int job = 1; job <= JOB_COUNT; job++) {
+                    if (simulation.outcome(jobId(job)) == null) {
                         return false;
                     }
                 }
                 return true;
             });
-            if (all) {
+            if (allFinished) {
                 break;
             }
         }
-        for (int job = 1; job <= JOBS; job++) {
+        for (int job = 1; job <= JOB_COUNT; job++) {
             for (int controller = 0; controller < 3; controller++) {
                 assertEquals(200, cluster.poll(controller, jobId(job)));
             }
-            synchronized (world) {
-                assertEquals("done", world.outcome(jobId(job)));
+            synchronized (simulation) {
+                assertEquals("done", simulation.outcome(jobId(job)));
             }
         }
     }
