--- a/src/test/java/org/mountlug/node/AdmissionFault.java
+++ b/src/test/java/org/mountlug/node/AdmissionFault.java
@@ -45,7 +45,7 @@
             })),
     FOLLOWER_OF_OLD_VERSION(0, 0, flood -> {
         SimulatedCluster.ControllerProcess old = other(flood);
-        old.oldVersion = true;
+        old.runsProductionVersion = true;
         old.restartAfter(1);
     });
 
--- a/src/test/java/org/mountlug/node/FakeCloud.java
+++ b/src/test/java/org/mountlug/node/FakeCloud.java
@@ -12,27 +12,30 @@
 import org.mountlug.wire.Fields;
 import org.mountlug.wire.PooledHttpClient;
 
-/** The cloud of a simulated cluster: one machine type, rentals by name, returns, and a list in pages that may lag. */
+/** An in-memory cloud with one machine type, idempotent rentals, returns and a paged machine list that may lag. */
 final class FakeCloud {
-    private static final double ANSWER_S = 0.1;
-    /** Seconds after its end at which the list shows a machine as failed. */
-    private static final double FAILED_AFTER_S = 30;
+    /** Seconds from a request to its response. */
+    private static final double RESPONSE_DELAY_S = 0.1;
+    /** Seconds after a crash from which the machine list shows the machine as failed. */
+    private static final double FAILURE_LISTED_AFTER_S = 30;
 
-    private static final int PAGE = 500;
+    /** Machines on a page of the machine list. */
+    private static final int PAGE_SIZE = 500;
 
     private final SimulatedCluster cluster;
-    private final Map<String, List<Object>> hires = new HashMap<>();
-    /** How many machines there are at the most. */
+    /** Names of the machines of each rental, by the rental's name; a repeated rental returns the same machines. */
+    private final Map<String, List<Object>> rentalsByName = new HashMap<>();
+    /** Most machines in all zones. */
     int capacity = 40;
-    /** How many machines a zone has at the most, where that is less. */
+    /** Most machines of a zone; no limit for a zone that is not a key. */
     final Map<String, Integer> zoneCapacity = new HashMap<>();
-    /** Zones in which machines are rented. */
+    /** Zones that the machine type names. */
     List<Object> zones = List.of("a");
-    /** Zones in which every rental is refused for now. */
+    /** Zones in which every rental is refused. */
     final Set<String> zonesRefusingRentals = new HashSet<>();
-    /** Whether the whole interface is down. */
+    /** Whether every request gets status 503. */
     boolean down;
-    /** Seconds by which the list lags behind rentals. */
+    /** Seconds after a rental for which the machine list does not show the machine. */
     double listLagS;
 
     FakeCloud(SimulatedCluster cluster) {
@@ -47,13 +50,13 @@
             Map<String, Object> body,
             int timeoutMs,
             Consumer<PooledHttpClient.Response> then) {
-        cluster.schedule(ANSWER_S, () -> {
-            Reply reply = reply(path, body);
+        cluster.schedule(RESPONSE_DELAY_S, () -> {
+            Reply reply = handleRequest(path, body);
             then.accept(new PooledHttpClient.Response(reply.status, reply.body, true));
         });
     }
 
-    private Reply reply(String path, Map<String, Object> body) {
+    private Reply handleRequest(String path, Map<String, Object> body) {
         if (down) {
             return new Reply(503, Map.of("error", "trouble"));
         }
@@ -63,10 +66,11 @@
                 type.put("sites", zones);
                 return new Reply(200, Map.of("builds", List.of(type)));
             case "/hosts/release":
-                release(body);
+                returnMachines(body);
                 return new Reply(200, Map.of());
             case "/hosts":
-                List<Object> names = hires.computeIfAbsent(Fields.getString(body, "hire"), hire -> rent(body));
+                List<Object> names =
+                        rentalsByName.computeIfAbsent(Fields.getString(body, "hire"), rental -> rent(body));
                 return names.isEmpty()
                         ? new Reply(503, Map.of("error", "no capacity"))
                         : new Reply(200, Map.of("rigs", names));
@@ -75,7 +79,7 @@
         }
     }
 
-    private void release(Map<String, Object> body) {
+    private void returnMachines(Map<String, Object> body) {
         for (Object name : Fields.getList(body, "rigs")) {
             SimulatedCluster.Worker worker = cluster.workers.remove((String) name);
             if (worker != null) {
@@ -90,12 +94,12 @@
         if (zonesRefusingRentals.contains(zone)) {
             return names;
         }
-        long inZone = cluster.workers.values().stream()
+        long machinesInZone = cluster.workers.values().stream()
                 .filter(worker -> worker.zone.equals(zone))
                 .count();
-        long room = Math.min(
-                capacity - cluster.workers.size(), zoneCapacity.getOrDefault(zone, Integer.MAX_VALUE) - inZone);
-        for (long left = Math.min(room, Fields.getLong(body, "howMany", 1)); left > 0; left--) {
+        long available = Math.min(
+                capacity - cluster.workers.size(), zoneCapacity.getOrDefault(zone, Integer.MAX_VALUE) - machinesInZone);
+        for (long left = Math.min(available, Fields.getLong(body, "howMany", 1)); left > 0; left--) {
             names.add(cluster.addMachine(zone).name);
         }
         return names;
@@ -103,24 +107,24 @@
 
     private Map<String, Object> page(String path) {
         String after = path.contains("after=") ? path.replaceAll(".*after=([^&]*).*", "$1") : "";
-        List<Object> shown = new ArrayList<>();
+        List<Object> machines = new ArrayList<>();
         for (SimulatedCluster.Worker worker : cluster.workers.values()) {
             if (cluster.nowS - worker.rentedAtS < listLagS || worker.name.compareTo(after) <= 0) {
                 continue;
             }
-            if (shown.size() == PAGE) {
-                return Map.of("rigs", shown, "hasNext", true);
+            if (machines.size() == PAGE_SIZE) {
+                return Map.of("rigs", machines, "hasNext", true);
             }
-            shown.add(listed(worker));
+            machines.add(machineEntry(worker));
         }
-        return Map.of("rigs", shown, "hasNext", false);
+        return Map.of("rigs", machines, "hasNext", false);
     }
 
-    private Map<String, Object> listed(SimulatedCluster.Worker worker) {
+    private Map<String, Object> machineEntry(SimulatedCluster.Worker worker) {
         double ageS = cluster.nowS - worker.rentedAtS;
         boolean up = worker.willBoot && ageS >= worker.bootDurationS;
         String status = up ? "running" : "booting";
-        if (cluster.nowS - worker.crashedAtS > FAILED_AFTER_S) {
+        if (cluster.nowS - worker.crashedAtS > FAILURE_LISTED_AFTER_S) {
             status = "failed";
         }
         return Fields.orderedMap(
--- a/src/test/java/org/mountlug/node/FakeStateService.java
+++ b/src/test/java/org/mountlug/node/FakeStateService.java
@@ -12,116 +12,136 @@
 import org.mountlug.wire.Json;
 import org.mountlug.wire.PooledHttpClient;
 
-/** The state service in memory, by its protocol: versions, leases, watches, limits, outages. */
+/** An in-memory state service: its protocol with revisions, leases, watches, size and rate limits, and outages. */
 final class FakeStateService {
-    /** How one node reaches it. */
+    /** How requests of one controller fare. */
     enum Link {
         HEALTHY,
+        /** Requests get status 503; watches get no response. */
         REFUSED,
+        /** Requests get no response; transactions are kept in {@link #heldTransactions}. */
         PARTITIONED,
-        /** Transactions are carried out at once, but their answers are lost. */
+        /** Transactions are executed at once, but their responses are lost. */
         RESPONSES_LOST,
-        /** Transactions get no answer and are carried out {@link #writeDelayS} later. */
+        /** Transactions get no response and are executed {@link #writeDelayS} later. */
         WRITES_DELAYED
     }
 
-    /** Seconds by which transactions over a {@link Link#WRITES_DELAYED} link are carried out late, and how many were and succeeded. */
+    /** Seconds by which transactions over a {@link Link#WRITES_DELAYED} link are executed late. */
     double writeDelayS = 3;
-    /** Requests and changes a second that it takes, with a burst of one second's worth; none where not set. */
+    /** Requests per second that are accepted, with a burst of one second's worth; infinity switches both rate limits off. */
     double rps = Double.POSITIVE_INFINITY;
 
+    /** Writes per second that are accepted, with a burst of one second's worth. */
     double writeRps = Double.POSITIVE_INFINITY;
-    /** Whether what is refused counts towards the limits all the same; the protocol leaves that open. */
+    /** Whether refused requests count towards the rate limits; the protocol does not define it. */
     boolean refusalsConsumeLimit = true;
-    /** How many requests were refused by these limits. */
+    /** Number of requests that the rate limits refused. */
     int rateLimitedRequests;
 
     private double requestsLeft = Double.NaN;
     private double writesLeft;
-    private double countedS;
-    /** Seconds by which every answer takes longer. */
+    private double lastRefillS;
+    /** Seconds by which every response takes longer. */
     double extraLatencyS;
-    /** Sees each transaction just before it leaves its node. */
+    /** Called with each transaction just before its controller sends it; may be null. */
     java.util.function.BiConsumer<SimulatedCluster.ControllerProcess, Map<String, Object>> onTransaction;
 
-    /** Requests of this path are refused, while all others are served. */
+    /** Requests for this path get status 503; null for none. */
     String refusedPath;
 
+    /** Number of transactions executed over a {@link Link#WRITES_DELAYED} link. */
     int delayedWritesApplied;
+    /** Number of those that succeeded. */
     int delayedWritesSucceeded;
+    /** Number of transactions that succeeded while their responses were lost. */
     int writesWithLostResponse;
 
-    private record Row(Object value, long stamp, long hold) {}
+    private record Row(Object value, long revision, long leaseId) {}
 
-    private record Entry(long stamp, Map<String, Object> news) {}
+    /** A change as watches report it. */
+    private record LogEntry(long revision, Map<String, Object> change) {}
 
-    private final SimulatedCluster world;
-    private final int opsMost;
-    private final int valueMost;
-    /** The limits from now on, lowered without notice: beyond them a change gets 400. */
-    private int opsNow;
-
-    private int valueNow;
-    /** How many changes were refused for their size. */
+    private final SimulatedCluster cluster;
+    private final int maxOps;
+    private final int maxValueBytes;
+    /** The enforced limit on writes of a transaction, which a test can lower; beyond it, status 400. */
+    private int currentMaxOps;
+    /** The enforced limit on the size of a value, which a test can lower; beyond it, status 400. */
+    private int currentMaxValueBytes;
+    /** Number of transactions refused for their size. */
     int oversizedWritesRefused;
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
-    private final List<Entry> log = new ArrayList<>();
-    private final Map<Long, double[]> holds = new TreeMap<>();
-    /** Held-back transactions of a cut node, to be carried out late. */
+    private final List<LogEntry> log = new ArrayList<>();
+    /** Duration and end of each lease, in seconds, by id. */
+    private final Map<Long, double[]> leases = new TreeMap<>();
+    /** Transactions sent over a {@link Link#PARTITIONED} link, for a test to execute late. */
     final List<Runnable> heldTransactions = new ArrayList<>();
 
-    private long epoch = 1;
-    private long nextHold = 7;
+    private long revision = 1;
+    private long nextLeaseId = 7;
+    /** Whether the state service is unavailable: requests get status 503, watches no response, and leases do not end. */
     boolean outage;
+    /** Size of the largest value in any transaction, whether it was executed or not. */
     int largestValueBytes;
 
-    FakeStateService(SimulatedCluster world, int opsMost, int valueKb) {
-        this.world = world;
-        this.opsMost = opsMost;
-        this.valueMost = valueKb * 1024;
-        this.opsNow = opsMost;
-        this.valueNow = valueMost;
+    /**
+     * Creates an empty state service.
+     *
+     * @param maxOps most operations of a transaction; more are recorded as a violation
+     * @param maxValueKb largest value in KiB; a larger one is recorded as a violation
+     */
+    FakeStateService(SimulatedCluster cluster, int maxOps, int maxValueKb) {
+        this.cluster = cluster;
+        this.maxOps = maxOps;
+        this.maxValueBytes = maxValueKb * 1024;
+        this.currentMaxOps = maxOps;
+        this.currentMaxValueBytes = maxValueBytes;
     }
 
+    /** Returns the transport of a controller, over a link whose state is read at each request. */
     HttpTransport connectionFrom(SimulatedCluster.ControllerProcess from, java.util.function.Supplier<Link> link) {
         return (method, path, body, timeoutMs, then) -> {
-            // Through bytes and back, so that a value cannot be shared by mistake.
+            // Encodes and decodes the body, so that the controller and the state service share no object.
             Map<String, Object> copy = body == null ? Map.of() : copy(body);
             if (path.equals("/multi") && onTransaction != null) {
                 onTransaction.accept(from, copy);
             }
-            Link l = link.get();
-            if (l == Link.PARTITIONED) {
+            Link currentLink = link.get();
+            if (currentLink == Link.PARTITIONED) {
                 if (path.equals("/multi")) {
-                    heldTransactions.add(() -> multi(copy));
+                    heldTransactions.add(() -> executeTransaction(copy));
                 }
-                world.schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
-            } else if (path.equals("/multi") && l == Link.WRITES_DELAYED && !outage) {
-                world.schedule(writeDelayS, () -> {
+                cluster.schedule(
+                        timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
+            } else if (path.equals("/multi") && currentLink == Link.WRITES_DELAYED && !outage) {
+                cluster.schedule(writeDelayS, () -> {
                     delayedWritesApplied++;
-                    if ((int) multi(copy)[0] == 200) {
+                    if ((int) executeTransaction(copy)[0] == 200) {
                         delayedWritesSucceeded++;
                     }
                 });
-                world.schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
-            } else if (path.equals("/multi") && l == Link.RESPONSES_LOST && !outage) {
-                world.schedule(0.002, () -> {
-                    if ((int) multi(copy)[0] == 200) {
+                cluster.schedule(
+                        timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
+            } else if (path.equals("/multi") && currentLink == Link.RESPONSES_LOST && !outage) {
+                cluster.schedule(0.002, () -> {
+                    if ((int) executeTransaction(copy)[0] == 200) {
                         writesWithLostResponse++;
                     }
                 });
-                world.schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
+                cluster.schedule(
+                        timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
             } else {
-                world.schedule(0.002, () -> {
+                cluster.schedule(0.002, () -> {
                     if (path.startsWith("/watch")) {
-                        watch(path, world.nowS + timeoutMs / 1000.0, link, then);
-                    } else if (l == Link.REFUSED || outage || path.equals(refusedPath)) {
-                        answer(then, 503, Map.of());
-                    } else if (overLimit(copy)) {
-                        answer(then, 429, Map.of());
+                        watch(path, cluster.nowS + timeoutMs / 1000.0, link, then);
+                    } else if (currentLink == Link.REFUSED || outage || path.equals(refusedPath)) {
+                        respond(then, 503, Map.of());
+                    } else if (isOverRateLimit(copy)) {
+                        respond(then, 429, Map.of());
                     } else {
-                        serve(method, path, copy, then);
+                        handleRequest(method, path, copy, then);
                     }
                 });
             }
@@ -129,247 +149,265 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> copy(Object o) {
+    private static Map<String, Object> copy(Object value) {
         try {
-            return (Map<String, Object>) Cbor.read(Cbor.write(o));
+            return (Map<String, Object>) Cbor.read(Cbor.write(value));
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private boolean overLimit(Map<String, Object> body) {
+    /** Counts the request and its writes, and returns whether either rate limit refuses it. */
+    private boolean isOverRateLimit(Map<String, Object> body) {
         if (Double.isInfinite(rps)) {
             return false;
         }
-        double gone = Double.isNaN(requestsLeft) ? 1 : world.nowS - countedS;
-        countedS = world.nowS;
-        int changes = Fields.getList(body, "writes").size();
-        requestsLeft = Math.min(rps, (Double.isNaN(requestsLeft) ? 0 : requestsLeft) + gone * rps) - 1;
-        writesLeft = Math.min(writeRps, writesLeft + gone * writeRps) - changes;
+        double elapsedS = Double.isNaN(requestsLeft) ? 1 : cluster.nowS - lastRefillS;
+        lastRefillS = cluster.nowS;
+        int writeCount = Fields.getList(body, "writes").size();
+        requestsLeft = Math.min(rps, (Double.isNaN(requestsLeft) ? 0 : requestsLeft) + elapsedS * rps) - 1;
+        writesLeft = Math.min(writeRps, writesLeft + elapsedS * writeRps) - writeCount;
         if (requestsLeft >= 0 && writesLeft >= 0) {
             return false;
         }
         if (!refusalsConsumeLimit) {
             requestsLeft++;
-            writesLeft += changes;
+            writesLeft += writeCount;
         }
         rateLimitedRequests++;
         return true;
     }
 
-    private void answer(Consumer<PooledHttpClient.Response> then, int status, Map<String, Object> body) {
-        world.schedule(
+    private void respond(Consumer<PooledHttpClient.Response> then, int status, Map<String, Object> body) {
+        cluster.schedule(
                 0.002 + extraLatencyS, () -> then.accept(new PooledHttpClient.Response(status, copy(body), true)));
     }
 
-    private void serve(
+    private void handleRequest(
             HttpString method, String path, Map<String, Object> body, Consumer<PooledHttpClient.Response> then) {
-        expire();
-        String m = method.toString();
+        expireLeases();
+        String methodName = method.toString();
         if (path.startsWith("/kv?")) {
-            String prefix = arg(path, "prefix");
-            String after = arg(path, "after");
-            List<Object> out = new ArrayList<>();
-            boolean more = false;
-            for (Map.Entry<String, Row> e :
+            String prefix = queryParameter(path, "prefix");
+            String after = queryParameter(path, "after");
+            List<Object> page = new ArrayList<>();
+            boolean hasNext = false;
+            for (Map.Entry<String, Row> entry :
                     rows.tailMap(after == null ? prefix : after, after == null).entrySet()) {
-                if (!e.getKey().startsWith(prefix)) {
+                if (!entry.getKey().startsWith(prefix)) {
                     break;
                 }
-                if (out.size() == 5) { // small pages, so that paging is exercised
-                    more = true;
+                if (page.size() == 5) { // small pages exercise the paging of the client
+                    hasNext = true;
                     break;
                 }
-                out.add(Map.of(
+                page.add(Map.of(
                         "k",
-                        e.getKey(),
+                        entry.getKey(),
                         "v",
-                        e.getValue().value(),
+                        entry.getValue().value(),
                         "stamp",
-                        e.getValue().stamp()));
+                        entry.getValue().revision()));
             }
-            answer(then, 200, Map.of("rows", out, "hasNext", more, "epoch", epoch));
+            respond(then, 200, Map.of("rows", page, "hasNext", hasNext, "epoch", revision));
         } else if (path.startsWith("/kv/")) {
-            Row r = rows.get(path.substring(4));
-            if (r == null) {
-                answer(then, 404, Map.of("epoch", epoch));
+            Row row = rows.get(path.substring(4));
+            if (row == null) {
+                respond(then, 404, Map.of("epoch", revision));
             } else {
-                answer(then, 200, Map.of("k", path.substring(4), "v", r.value(), "stamp", r.stamp(), "hold", r.hold()));
+                respond(
+                        then,
+                        200,
+                        Map.of(
+                                "k",
+                                path.substring(4),
+                                "v",
+                                row.value(),
+                                "stamp",
+                                row.revision(),
+                                "hold",
+                                row.leaseId()));
             }
         } else if (path.equals("/multi")) {
-            Object[] a = multi(body);
-            answer(then, (int) a[0], Fields.asMap(a[1]));
+            Object[] result = executeTransaction(body);
+            respond(then, (int) result[0], Fields.asMap(result[1]));
         } else if (path.equals("/holds")) {
-            double life = Fields.getLong(body, "lifeMs", 0) / 1000.0;
-            holds.put(nextHold, new double[] {life, world.nowS + life});
-            answer(then, 200, Map.of("hold", nextHold++));
+            double durationS = Fields.getLong(body, "lifeMs", 0) / 1000.0;
+            leases.put(nextLeaseId, new double[] {durationS, cluster.nowS + durationS});
+            respond(then, 200, Map.of("hold", nextLeaseId++));
         } else {
             long id = Long.parseLong(path.split("/")[2]);
-            double[] h = holds.get(id);
-            if (h == null) {
-                answer(then, 404, Map.of());
+            double[] lease = leases.get(id);
+            if (lease == null) {
+                respond(then, 404, Map.of());
             } else {
-                h[1] = m.equals("DELETE") ? 0 : world.nowS + h[0];
-                expire();
-                answer(then, 200, Map.of());
+                lease[1] = methodName.equals("DELETE") ? 0 : cluster.nowS + lease[0];
+                expireLeases();
+                respond(then, 200, Map.of());
             }
         }
     }
 
-    private static String arg(String path, String name) {
-        for (String s : path.substring(path.indexOf('?') + 1).split("&")) {
-            if (s.startsWith(name + "=")) {
-                return s.substring(name.length() + 1);
+    private static String queryParameter(String path, String name) {
+        for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
+            if (parameter.startsWith(name + "=")) {
+                return parameter.substring(name.length() + 1);
             }
         }
         return null;
     }
 
-    private Object[] multi(Map<String, Object> body) {
-        expire();
+    /** Executes a transaction and returns the response's status code and body. */
+    private Object[] executeTransaction(Map<String, Object> body) {
+        expireLeases();
         List<Object> failed = new ArrayList<>();
-        for (Object o : Fields.getList(body, "guards")) {
-            Map<String, Object> g = Fields.asMap(o);
-            Row r = rows.get(Fields.getString(g, "k"));
-            if ((r == null ? 0 : r.stamp()) != Fields.getLong(g, "stamp", -1)) {
-                failed.add(g.get("k"));
+        for (Object item : Fields.getList(body, "guards")) {
+            Map<String, Object> guard = Fields.asMap(item);
+            Row row = rows.get(Fields.getString(guard, "k"));
+            if ((row == null ? 0 : row.revision()) != Fields.getLong(guard, "stamp", -1)) {
+                failed.add(guard.get("k"));
             }
         }
         List<Object> writes = Fields.getList(body, "writes");
-        boolean small = true;
-        if (writes.size() > opsMost) {
-            world.recordViolation("transaction of " + writes.size() + " changes");
+        boolean withinSizeLimit = true;
+        if (writes.size() > maxOps) {
+            cluster.recordViolation("transaction has " + writes.size() + " writes");
         }
         if (Json.length(body) > 64 * 1024) {
-            world.recordViolation("transaction over 64 KiB");
+            cluster.recordViolation("transaction is larger than 64 KiB");
         }
-        for (Object o : writes) {
-            Map<String, Object> w = Fields.asMap(o);
-            int size = w.containsKey("put") ? Json.length(w.get("v")) : 0;
+        for (Object item : writes) {
+            Map<String, Object> write = Fields.asMap(item);
+            int size = write.containsKey("put") ? Json.length(write.get("v")) : 0;
             largestValueBytes = Math.max(largestValueBytes, size);
-            if (size > valueNow) {
-                small = false;
+            if (size > currentMaxValueBytes) {
+                withinSizeLimit = false;
             }
-            if (size > valueMost) {
-                world.recordViolation("value of " + w.get("put") + " has " + size + " bytes");
+            if (size > maxValueBytes) {
+                cluster.recordViolation("value of " + write.get("put") + " has " + size + " bytes");
             }
-            if (w.get("hold") instanceof Number h && !holds.containsKey(h.longValue())) {
+            if (write.get("hold") instanceof Number leaseId && !leases.containsKey(leaseId.longValue())) {
                 return new Object[] {400, Map.of("error", "no such lease")};
             }
         }
-        if (!small || writes.size() > opsNow) {
+        if (!withinSizeLimit || writes.size() > currentMaxOps) {
             oversizedWritesRefused++;
             return new Object[] {400, Map.of("error", "too large")};
         }
         if (!failed.isEmpty()) {
-            return new Object[] {409, Map.of("failed", failed, "epoch", epoch)};
+            return new Object[] {409, Map.of("failed", failed, "epoch", revision)};
         }
-        epoch++;
-        for (Object o : writes) {
-            Map<String, Object> w = Fields.asMap(o);
-            String put = Fields.getString(w, "put");
-            if (put != null) {
-                put(put, new Row(w.get("v"), epoch, Fields.getLong(w, "hold", 0)));
+        revision++;
+        for (Object item : writes) {
+            Map<String, Object> write = Fields.asMap(item);
+            String key = Fields.getString(write, "put");
+            if (key != null) {
+                put(key, new Row(write.get("v"), revision, Fields.getLong(write, "hold", 0)));
             } else {
-                delete(Fields.getString(w, "delete"));
+                delete(Fields.getString(write, "delete"));
             }
         }
-        return new Object[] {200, Map.of("epoch", epoch)};
+        return new Object[] {200, Map.of("epoch", revision)};
     }
 
-    private void put(String k, Row r) {
-        rows.put(k, r);
-        log.add(new Entry(epoch, Map.of("put", k, "v", r.value(), "stamp", epoch)));
+    private void put(String key, Row row) {
+        rows.put(key, row);
+        log.add(new LogEntry(revision, Map.of("put", key, "v", row.value(), "stamp", revision)));
     }
 
-    private void delete(String k) {
-        if (rows.remove(k) != null) {
-            log.add(new Entry(epoch, Map.of("delete", k, "stamp", epoch)));
+    private void delete(String key) {
+        if (rows.remove(key) != null) {
+            log.add(new LogEntry(revision, Map.of("delete", key, "stamp", revision)));
         }
     }
 
-    /** After an outage every lease has its full time again. */
+    /** Ends the outage and renews every lease for its full duration. */
     void recover() {
         outage = false;
-        for (double[] h : holds.values()) {
-            h[1] = world.nowS + h[0];
+        for (double[] lease : leases.values()) {
+            lease[1] = cluster.nowS + lease[0];
         }
     }
 
-    private void expire() {
+    /** Removes ended leases with their keys, unless there is an outage. */
+    private void expireLeases() {
         if (outage) {
             return;
         }
-        for (long id : List.copyOf(holds.keySet())) {
-            if (holds.get(id)[1] > world.nowS) {
+        for (long id : List.copyOf(leases.keySet())) {
+            if (leases.get(id)[1] > cluster.nowS) {
                 continue;
             }
-            holds.remove(id);
-            for (Map.Entry<String, Row> r : new ArrayList<>(rows.entrySet())) {
-                if (r.getValue().hold() == id) {
-                    epoch++;
-                    delete(r.getKey());
+            leases.remove(id);
+            for (Map.Entry<String, Row> row : new ArrayList<>(rows.entrySet())) {
+                if (row.getValue().leaseId() == id) {
+                    revision++;
+                    delete(row.getKey());
                 }
             }
         }
     }
 
+    /** Responds when a key of the prefix changes or the blocking time ends; with status 0 at the client's timeout. */
     private void watch(
             String path,
             double giveUpS,
             java.util.function.Supplier<Link> link,
             Consumer<PooledHttpClient.Response> then) {
-        String prefix = arg(path, "prefix");
-        long after = Long.parseLong(arg(path, "after"));
-        double until = world.nowS + Long.parseLong(arg(path, "blockMs")) / 1000.0;
-        Runnable[] look = new Runnable[1];
-        look[0] = () -> {
-            if (world.nowS >= giveUpS) {
+        String prefix = queryParameter(path, "prefix");
+        long after = Long.parseLong(queryParameter(path, "after"));
+        double blockUntilS = cluster.nowS + Long.parseLong(queryParameter(path, "blockMs")) / 1000.0;
+        Runnable[] poll = new Runnable[1];
+        poll[0] = () -> {
+            if (cluster.nowS >= giveUpS) {
                 then.accept(new PooledHttpClient.Response(0, Map.of(), true));
                 return;
             }
             if (link.get() != Link.REFUSED && link.get() != Link.PARTITIONED && !outage) {
-                expire();
-                List<Object> news = new ArrayList<>();
-                for (int i = log.size() - 1; i >= 0 && log.get(i).stamp() > after; i--) {
-                    Map<String, Object> n = log.get(i).news();
-                    if (String.valueOf(n.getOrDefault("put", n.get("delete"))).startsWith(prefix)) {
-                        news.add(0, n);
+                expireLeases();
+                List<Object> changes = new ArrayList<>();
+                for (int i = log.size() - 1; i >= 0 && log.get(i).revision() > after; i--) {
+                    Map<String, Object> change = log.get(i).change();
+                    if (String.valueOf(change.getOrDefault("put", change.get("delete")))
+                            .startsWith(prefix)) {
+                        changes.add(0, change);
                     }
                 }
-                if (!news.isEmpty() || world.nowS >= until) {
-                    answer(then, 200, Map.of("epoch", epoch, "news", news));
+                if (!changes.isEmpty() || cluster.nowS >= blockUntilS) {
+                    respond(then, 200, Map.of("epoch", revision, "news", changes));
                     return;
                 }
             }
-            world.schedule(0.05, look[0]);
+            cluster.schedule(0.05, poll[0]);
         };
-        look[0].run();
+        poll[0].run();
     }
 
-    /** A transaction is carried out once more. */
+    /** Executes a copy of a transaction again and returns the status code. */
     int replayTransaction(Map<String, Object> body) {
-        return (int) multi(copy(body))[0];
+        return (int) executeTransaction(copy(body))[0];
     }
 
+    /** Sets the enforced limits on the size of a value and on the operations of a transaction. */
     void setSizeLimits(double valueKb, int ops) {
-        valueNow = (int) (valueKb * 1024);
-        opsNow = ops;
+        currentMaxValueBytes = (int) (valueKb * 1024);
+        currentMaxOps = ops;
     }
 
-    /** Keys that begin so. */
+    /** Returns the stored keys with the prefix, in order. */
     List<String> keys(String prefix) {
-        return rows.keySet().stream().filter(k -> k.startsWith(prefix)).toList();
+        return rows.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
     }
 
+    /** Returns the value of the key; null if it is not stored. */
     Object value(String key) {
-        Row r = rows.get(key);
-        return r == null ? null : r.value();
+        Row row = rows.get(key);
+        return row == null ? null : row.value();
     }
 
-    /** Writes past all rules, as something foreign to us would. */
+    /** Writes without guards or limits, as a program other than the controllers might. */
     void writeUnchecked(String key, Map<String, Object> value) {
-        epoch++;
-        put(key, new Row(value, epoch, 0));
+        revision++;
+        put(key, new Row(value, revision, 0));
     }
 }
--- a/src/test/java/org/mountlug/node/FaultTestSteps.java
+++ b/src/test/java/org/mountlug/node/FaultTestSteps.java
@@ -5,49 +5,52 @@
 import java.util.List;
 import java.util.Map;
 
-/** Steps that tests of overlapping faults share. */
+/** Steps that the tests with simulated clusters share. */
 final class FaultTestSteps {
     private FaultTestSteps() {}
 
-    /** The id of the job of this number. */
-    static String jobId(int n) {
-        return String.format("wk-%06d", n);
+    /** Returns the job id with this number. */
+    static String jobId(int number) {
+        return String.format("wk-%06d", number);
     }
 
-    /** A controller that runs, and is not this one. */
+    /** Returns the first controller that is up, not paused, and not the excluded one. */
     static SimulatedCluster.ControllerProcess otherController(
-            SimulatedCluster w, SimulatedCluster.ControllerProcess excluded) {
-        return w.controllers.stream()
-                .filter(n -> n != excluded && n.up && n.pausedUntilS <= w.nowS)
+            SimulatedCluster cluster, SimulatedCluster.ControllerProcess excluded) {
+        return cluster.controllers.stream()
+                .filter(process -> process != excluded && process.up && process.pausedUntilS <= cluster.nowS)
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Waits until so many tasks have been started. */
-    static boolean runUntilStarted(SimulatedCluster w, int tasks) {
-        return w.runUntil(
+    /** Runs until the current machines have started this many tasks; returns false if they do not within 90 s. */
+    static boolean runUntilStarted(SimulatedCluster cluster, int tasks) {
+        return cluster.runUntil(
                 90,
-                () -> w.workers.values().stream().mapToInt(k -> k.startCount).sum() >= tasks);
+                () -> cluster.workers.values().stream()
+                                .mapToInt(worker -> worker.startCount)
+                                .sum()
+                        >= tasks);
     }
 
-    /** The last fault is over: all jobs end within the time, and nothing was broken. */
-    static void assertSettles(SimulatedCluster w, double timeoutS) {
-        w.runUntilSettled(timeoutS);
-        assertEquals(List.of(), w.violations());
+    /** Asserts, after the last fault, that all jobs settle within the timeout and that no violation was recorded. */
+    static void assertSettles(SimulatedCluster cluster, double timeoutS) {
+        cluster.runUntilSettled(timeoutS);
+        assertEquals(List.of(), cluster.violations());
     }
 
-    /** How many machines hold a task of the job. */
-    static long activeTaskCount(SimulatedCluster w, String id) {
-        return w.workers.values().stream()
-                .flatMap(k -> k.activeTasks().stream())
-                .filter(t -> t.jobId.equals(id))
+    /** Returns the number of the job's active tasks on all machines. */
+    static long activeTaskCount(SimulatedCluster cluster, String id) {
+        return cluster.workers.values().stream()
+                .flatMap(worker -> worker.activeTasks().stream())
+                .filter(task -> task.jobId.equals(id))
                 .count();
     }
 
-    /** Submits a job of the shape. */
-    static void submit(SimulatedCluster w, int n, String jobType, int tasks) {
-        w.submitUntilAccepted(
-                jobId(n),
+    /** Submits a job of the type "array", "gang" or "service" until it is accepted. */
+    static void submit(SimulatedCluster cluster, int number, String jobType, int tasks) {
+        cluster.submitUntilAccepted(
+                jobId(number),
                 tasks,
                 jobType.equals("gang"),
                 jobType.equals("service") ? Map.of("shape", "daemon") : Map.of());
--- a/src/test/java/org/mountlug/node/SimulatedCluster.java
+++ b/src/test/java/org/mountlug/node/SimulatedCluster.java
@@ -27,15 +27,15 @@
 import org.mountlug.wire.PooledHttpClient;
 
 /**
- * Controllers without sockets, a state service, a cloud and workers in memory, under a clock that the test drives. The
- * workers check the rules as they go: {@link #violations} collects what must never happen.
+ * Controllers without sockets, a fake state service, a fake cloud and simulated workers, under a clock that the test advances.
+ * Workers and responses are checked against the scheduler's guarantees; {@link #violations} collects each breach.
  */
 final class SimulatedCluster {
-    /** Seconds of a worker's lease. */
+    /** Duration of a worker's lease, in seconds. */
     final double workerLeaseS;
-
+    /** Seconds after an acknowledged cancellation by which no task of the job may run. */
     static final double CANCEL_DEADLINE_S = 30;
-    /** Milliseconds by which a controller's time of day may differ from the true one. */
+    /** Milliseconds by which a controller's epoch time may differ from the simulated time. */
     static final long MAX_CLOCK_SKEW_MS = 25;
 
     static final Map<String, Object> MACHINE_TYPE = Map.of(
@@ -60,103 +60,105 @@
             "sites",
             List.of("a"));
     static final double MACHINE_CPUS = 4;
-    /** Seconds within which each job must be answered about once troubles are over. */
+    /** Seconds within which some controller must answer polls of each accepted job, once all faults are over. */
     static final double ANSWERED_S = 75;
-    /** Seconds for which a job may wait, once troubles are over, while a machine has room for it. */
-    static final double BESIDE_ROOM_S = 90;
+    /** Seconds for which a job may wait, once all faults are over, while a machine has free capacity for it. */
+    static final double MAX_WAIT_WITH_FREE_CAPACITY_S = 90;
 
+    /** Simulated time in seconds; it begins at 1000. */
     double nowS = 1000;
-    /** The limits of the state service that the controllers are told; the value's is the one to come. */
-    double leastValueKb = 8;
-
+    /** The strictest value size limit, in KiB, in the controllers' settings. */
+    double strictestValueLimitKb = 8;
+    /** The limit on operations of a transaction in the controllers' settings. */
     int txnOps = 8;
+
     private final OperatorSettings operators;
-    private long order;
+    private long nextEventNumber;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<String> violations = new ArrayList<>();
     final FakeStateService stateService;
     final List<ControllerProcess> controllers = new ArrayList<>();
     final Map<String, Worker> workers = new TreeMap<>();
-    /** When each job's user was told that it is cancelled. */
+    /** When each job's cancellation was acknowledged; positive infinity once a violation is recorded. */
     final Map<String, Double> cancelAcknowledgedAtS = new HashMap<>();
 
-    final Map<String, Integer> sizes = new HashMap<>();
+    final Map<String, Integer> taskCounts = new HashMap<>();
     final Map<String, Boolean> gangs = new HashMap<>();
-    private final Map<String, byte[]> bodies = new HashMap<>();
-    /** Run time of every task, seconds. */
+    private final Map<String, byte[]> submissionBodies = new HashMap<>();
+    /** Run time of every task, in seconds. */
     double taskDurationS = 4;
 
     final FakeCloud cloud = new FakeCloud(this);
-    /** Jobs that were submitted with a mistake: their tasks fail everywhere. */
+    /** Jobs whose tasks fail on every machine. */
     final java.util.Set<String> failingJobs = new java.util.HashSet<>();
-    /** How workers report, if not to the controllers of this cluster. */
+    /** Sends workers' reports in place of the calls to this cluster's controllers; null for those calls. */
     Consumer<Worker> reportSender;
 
-    /** A start as it took effect on a machine. */
+    /** A task's start on a machine. */
     record TaskStart(double atS, String jobId, int taskIndex, String zone, String machine) {}
 
-    /** All starts, in order. */
+    /** All task starts, in order of time. */
     final List<TaskStart> startLog = new ArrayList<>();
-    /** How many tasks of each job were started, on any machine. */
+    /** Number of task starts of each job, on all machines. */
     final Map<String, Integer> startsByJob = new HashMap<>();
-    /** Services, whose replicas run until they are stopped. */
+    /** Ids of the services, whose replicas run until they are stopped. */
     final java.util.Set<String> services = new java.util.HashSet<>();
-    /** How the next so many seconds-old replicas of a service end by themselves, if they do. */
+    /** The cause with which replicas exit after {@link #taskDurationS}; null if they run until they are stopped. */
     ExitCause replicaExitCause;
-
-    /** Whether a filter refuses connections between controllers. */
+    /** Whether connections between controllers are refused. */
     boolean peersRefuseConnections;
-    /** Seconds by which orders sent directly to workers come late, their answers lost. */
+    /** Seconds by which direct commands reach workers late; while positive, each also ends in a timeout. */
     double commandDelayS;
-    /** Orders sent directly to workers that hear nothing, to be delivered late. */
+    /** Direct commands to workers whose inbound traffic is blocked, for a test to deliver late. */
     final List<Runnable> heldCommands = new ArrayList<>();
 
     int machinesRented;
-    /** The longest time after a told cancellation at which a start took effect; negative if none did. */
+    /** The longest time, in seconds, from an acknowledged cancellation to a start of that job; negative if none was started. */
     double latestStartAfterCancelS = -1;
-
-    /** Seconds from a rental until its machine is up. */
+    /** Seconds from a rental until the machine is up, before {@link #bootSlowdownFactor}. */
     double machineBootS = 2;
-    /** Times that machines rented now take to boot. */
+    /** Factor on the boot time of machines that are rented from now on. */
     double bootSlowdownFactor = 1;
-    /** Of how many machines rented now one never comes up; none if 0. */
+    /** Every machine whose number is a multiple of this value never boots; 0 if all boot. */
     int everyNthNeverBoots;
 
     private final Map<String, Team> teams = new HashMap<>();
-    private final Map<String, Asked> asked = new LinkedHashMap<>();
-    /** Run when a node begins a term, before anything else reaches it. */
+    private final Map<String, SubmittedJob> submittedJobs = new LinkedHashMap<>();
+    /** Called when a controller begins a term, before any later event reaches it. */
     final List<Consumer<ControllerProcess>> onTermStart = new ArrayList<>();
 
     private long highestToken;
-    /** Most that any team with a limit has used of it, as a share; shows that a test had a team at its limit. */
+    /** Highest share of its CPU limit that any team has used; shows whether a test brought a team to its limit. */
     double peakTeamLimitShare;
 
-    private static final Asked NOBODY = new Asked();
+    private static final SubmittedJob NEVER_SUBMITTED = new SubmittedJob();
 
-    /** A submission as its user sent it, and the first moment at which an answer of each kind was told. */
-    private static final class Asked {
+    /** A job as its user submitted it, and what the responses about it have said. */
+    private static final class SubmittedJob {
         String team = "t";
         double cpus;
         String zone;
         boolean oneZone;
         boolean accepted;
-        /** By rank: unknown, live, over. */
-        final double[] toldAt = {Double.NaN, Double.NaN, Double.NaN};
+        /** When a response of each rank was first sent; ranks: 0 unknown, 1 live, 2 finished. {@code NaN} if never. */
+        final double[] firstResponseAtS = {Double.NaN, Double.NaN, Double.NaN};
 
+        /** {@code done} or {@code withdrawn}, as a response said; null before. */
         String outcome;
-        /** Tasks that have completed, wherever. */
-        final java.util.Set<Integer> completed = new java.util.HashSet<>();
+        /** Indexes of the tasks that have completed on any machine. */
+        final java.util.Set<Integer> completedTasks = new java.util.HashSet<>();
 
-        double answeredAt;
-        double askedAt;
-        double waitsSince = Double.NaN;
+        double lastAnsweredAtS;
+        double lastPolledAtS;
+        /** Since when the job has waited although a machine has free capacity for it; {@code NaN} if it does not. */
+        double waitingSinceS = Double.NaN;
     }
 
-    private record Event(double at, long order, Runnable run) implements Comparable<Event> {
+    private record Event(double atS, long number, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            int c = Double.compare(at, o.at);
-            return c != 0 ? c : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            int byTime = Double.compare(atS, other.atS);
+            return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
 
@@ -172,116 +174,119 @@
         this(controllerCount, teams, leaseS, false, 8, 8);
     }
 
-    /** @param oldVersion whether the controllers begin with the version in production, as far as data decides it */
+    /** @param production whether the controllers begin with an imitation of the production version */
     SimulatedCluster(
-            int controllerCount, List<Team> teams, double leaseS, boolean oldVersion, double leastValueKb, int txnOps) {
-        this(controllerCount, teams, leaseS, oldVersion, leastValueKb, txnOps, OperatorSettings.defaults());
+            int controllerCount, List<Team> teams, double leaseS, boolean production, double valueLimitKb, int txnOps) {
+        this(controllerCount, teams, leaseS, production, valueLimitKb, txnOps, OperatorSettings.defaults());
     }
 
     SimulatedCluster(
             int controllerCount,
             List<Team> teams,
             double leaseS,
-            boolean oldVersion,
-            double leastValueKb,
+            boolean production,
+            double valueLimitKb,
             int txnOps,
             OperatorSettings operators) {
         this.workerLeaseS = leaseS;
         this.operators = operators;
-        this.leastValueKb = leastValueKb;
+        this.strictestValueLimitKb = valueLimitKb;
         this.txnOps = txnOps;
         stateService = new FakeStateService(this, 8, 8);
-        for (Team t : teams) {
-            this.teams.put(t.name(), t);
+        for (Team team : teams) {
+            this.teams.put(team.name(), team);
         }
         for (int i = 0; i < controllerCount; i++) {
             controllers.add(new ControllerProcess("c-" + i, controllerCount, teams));
-            controllers.get(i).oldVersion = oldVersion;
+            controllers.get(i).runsProductionVersion = production;
         }
-        for (ControllerProcess n : controllers) {
-            n.start();
+        for (ControllerProcess process : controllers) {
+            process.start();
         }
-        schedule(0.1, this::look);
+        schedule(0.1, this::checkInvariants);
     }
 
-    // ---- what must hold at any time ---------------------------------------------------------------------------
-
-    /** Looks at all machines ten times a second, as a hung one says nothing of itself. */
-    private void look() {
-        for (Worker w : workers.values()) {
-            for (Task t : w.activeTasks()) {
-                Double c = cancelAcknowledgedAtS.get(t.jobId);
-                if (c != null && nowS > c + CANCEL_DEADLINE_S) {
-                    recordViolation("ran_cancelled: " + t.jobId + "/" + t.index + " on " + w.name + " "
-                            + Math.round(nowS - c) + " s after");
-                    cancelAcknowledgedAtS.put(t.jobId, Double.POSITIVE_INFINITY); // said once
+    // ---- checks -------------------------------------------------------------------------------------------------
+
+    /** Checks all machines and teams ten times a second, as hung machines send no reports. */
+    private void checkInvariants() {
+        for (Worker worker : workers.values()) {
+            for (Task task : worker.activeTasks()) {
+                Double cancelledAtS = cancelAcknowledgedAtS.get(task.jobId);
+                if (cancelledAtS != null && nowS > cancelledAtS + CANCEL_DEADLINE_S) {
+                    recordViolation("ran after its cancellation: " + task.jobId + "/" + task.index + " on "
+                            + worker.name + " " + Math.round(nowS - cancelledAtS) + " s after");
+                    cancelAcknowledgedAtS.put(task.jobId, Double.POSITIVE_INFINITY); // recorded once
                 }
             }
         }
-        for (Team t : teams.values()) {
-            if (t.maxCpus() <= 0) {
+        for (Team team : teams.values()) {
+            if (team.maxCpus() <= 0) {
                 continue;
             }
-            double used = usedCpus(t.name());
-            peakTeamLimitShare = Math.max(peakTeamLimitShare, used / t.maxCpus());
-            if (used > t.maxCpus() + 1e-6) {
-                recordViolation("quota: " + t.name() + " uses " + used);
+            double usedCpus = usedCpus(team.name());
+            peakTeamLimitShare = Math.max(peakTeamLimitShare, usedCpus / team.maxCpus());
+            if (usedCpus > team.maxCpus() + 1e-6) {
+                recordViolation("CPU limit exceeded: " + team.name() + " uses " + usedCpus);
             }
         }
-        schedule(0.1, this::look);
+        schedule(0.1, this::checkInvariants);
     }
 
     double usedCpus(String team) {
-        double n = 0;
-        for (Worker w : workers.values()) {
-            for (Task t : w.activeTasks()) {
-                Asked a = asked.get(t.jobId);
-                if (a != null && a.team.equals(team)) {
-                    n += a.cpus;
+        double cpus = 0;
+        for (Worker worker : workers.values()) {
+            for (Task task : worker.activeTasks()) {
+                SubmittedJob job = submittedJobs.get(task.jobId);
+                if (job != null && job.team.equals(team)) {
+                    cpus += job.cpus;
                 }
             }
         }
-        return n;
+        return cpus;
     }
 
     /**
-     * An answer has been sent: after that, no question about the job may be answered with anything older, whoever is
-     * asked. Unknown comes before pending and running, and both before done or withdrawn, which stay as they are.
+     * Checks a response against all responses about the job that were sent before its request. The job's state may only
+     * advance, whichever controller responds: unknown, then pending or running, then done or withdrawn, which are final.
      */
-    void checkResponse(String id, double askedAt, String question, int code, Map<String, Object> body) {
-        if (code == 429 || code == 503) {
+    void checkResponse(String id, double askedAtS, String request, int statusCode, Map<String, Object> body) {
+        if (statusCode == 429 || statusCode == 503) {
             return;
         }
-        Asked a = asked.computeIfAbsent(id, k -> new Asked());
-        String status = code == 200 || code == 201 ? String.valueOf(body.get("status")) : null;
+        SubmittedJob job = submittedJobs.computeIfAbsent(id, key -> new SubmittedJob());
+        String status = statusCode == 200 || statusCode == 201 ? String.valueOf(body.get("status")) : null;
         int rank = status == null ? 0 : status.equals("done") || status.equals("withdrawn") ? 2 : 1;
-        if (status == null && (code == 400 || code == 422) && a.accepted && a.toldAt[1] < askedAt) {
-            recordViolation("forgotten: " + question + " of " + id + " got " + code);
-        }
-        for (int r = rank + 1; r <= 2; r++) {
-            if (a.toldAt[r] < askedAt) {
-                recordViolation("older answer: " + question + " of " + id + " got " + code + " " + status + ", "
-                        + a.outcome + " was told");
+        if (status == null
+                && (statusCode == 400 || statusCode == 422)
+                && job.accepted
+                && job.firstResponseAtS[1] < askedAtS) {
+            recordViolation("accepted job rejected: " + request + " of " + id + " got " + statusCode);
+        }
+        for (int laterRank = rank + 1; laterRank <= 2; laterRank++) {
+            if (job.firstResponseAtS[laterRank] < askedAtS) {
+                recordViolation("outdated response: " + request + " of " + id + " got " + statusCode + " " + status
+                        + ", although a later state was sent before (outcome " + job.outcome + ")");
             }
         }
-        if (rank == 2 && a.outcome != null && !a.outcome.equals(status)) {
-            recordViolation("went_back: " + id + " " + a.outcome + ", then " + status);
+        if (rank == 2 && job.outcome != null && !job.outcome.equals(status)) {
+            recordViolation("outcome changed: " + id + " " + job.outcome + ", then " + status);
         }
         if (rank == 2) {
-            a.outcome = status;
+            job.outcome = status;
         }
-        // A gang completes together, so one of its tasks is enough.
-        int least = gangs.getOrDefault(id, false) ? 1 : sizes.getOrDefault(id, 1);
-        if ("done".equals(status) && a.completed.size() < least) {
-            recordViolation("not_done: " + id + " with " + a.completed.size() + " tasks done");
+        // A gang's tasks complete together, so one completed task is enough.
+        int requiredTasks = gangs.getOrDefault(id, false) ? 1 : taskCounts.getOrDefault(id, 1);
+        if ("done".equals(status) && job.completedTasks.size() < requiredTasks) {
+            recordViolation("reported done too early: " + id + " with " + job.completedTasks.size() + " tasks done");
         }
         if (rank > 0) {
-            a.accepted = true;
-            a.answeredAt = nowS;
+            job.accepted = true;
+            job.lastAnsweredAtS = nowS;
         }
-        for (int r = 1; r <= rank; r++) {
-            if (!(a.toldAt[r] <= nowS)) {
-                a.toldAt[r] = nowS;
+        for (int reachedRank = 1; reachedRank <= rank; reachedRank++) {
+            if (!(job.firstResponseAtS[reachedRank] <= nowS)) {
+                job.firstResponseAtS[reachedRank] = nowS;
             }
         }
         if ("withdrawn".equals(status)) {
@@ -289,90 +294,93 @@
         }
     }
 
-    /** The submission as it was first sent. */
+    /** Returns the last submission that was built before the job was accepted; null if there is none. */
     byte[] originalSubmission(String id) {
-        return bodies.get(id);
+        return submissionBodies.get(id);
     }
 
-    /** A new submission, to be sent by the test itself. */
+    /** Builds a new submission for the test to send. */
     byte[] newSubmission(String id, int tasks) {
         return controllers.get(0).buildSubmission(id, tasks, false, Map.of());
     }
 
-    /** Jobs that were accepted. */
+    /** Returns the ids of the jobs that a response has shown to be accepted. */
     List<String> acceptedJobs() {
-        return asked.entrySet().stream()
+        return submittedJobs.entrySet().stream()
                 .filter(e -> e.getValue().accepted)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
     String outcome(String id) {
-        return asked.get(id).outcome;
+        return submittedJobs.get(id).outcome;
     }
 
     /**
-     * The last trouble is over: each job that was accepted is answered about, none waits beside room, and within the time
-     * each ends, or runs if it is a service.
+     * Runs, after the last fault, until every accepted job has finished, or runs if it is a service. Records a violation for a
+     * job that is not answered about, waits although a machine has free capacity, or is not settled within the timeout.
      */
     void runUntilSettled(double timeoutS) {
-        double from = nowS;
-        for (Asked a : asked.values()) {
-            a.waitsSince = Double.NaN;
+        double startS = nowS;
+        for (SubmittedJob job : submittedJobs.values()) {
+            job.waitingSinceS = Double.NaN;
         }
-        int turn = 0;
-        while (nowS < from + timeoutS) {
-            boolean all = true;
+        int second = 0;
+        while (nowS < startS + timeoutS) {
+            boolean allSettled = true;
             int polls = 0;
-            List<String> open = new ArrayList<>(acceptedJobs());
-            open.sort(java.util.Comparator.comparingDouble(id -> asked.get(id).askedAt));
-            for (String id : open) {
-                Asked a = asked.get(id);
-                if (a.outcome != null) {
+            List<String> ids = new ArrayList<>(acceptedJobs());
+            ids.sort(java.util.Comparator.comparingDouble(id -> submittedJobs.get(id).lastPolledAtS));
+            for (String id : ids) {
+                SubmittedJob job = submittedJobs.get(id);
+                if (job.outcome != null) {
                     continue;
                 }
-                // Each about every five seconds, at one node after the other, and no more than the nodes' budgets take.
-                if (nowS - a.askedAt > 5 && polls < 40) {
+                // Polls each job about every 5 s at alternating controllers, within the controllers' rate limits.
+                if (nowS - job.lastPolledAtS > 5 && polls < 40) {
                     polls++;
-                    a.askedAt = nowS;
-                    ControllerProcess n = controllers.get((turn + polls) % controllers.size());
-                    if (n.up) {
-                        n.askAsync("poll", id, r -> n.users.poll(id, r), null);
+                    job.lastPolledAtS = nowS;
+                    ControllerProcess process = controllers.get((second + polls) % controllers.size());
+                    if (process.up) {
+                        process.askAsync("poll", id, r -> process.users.poll(id, r), null);
                     }
                 }
-                if (nowS - Math.max(from, a.answeredAt) > ANSWERED_S) {
-                    recordViolation("forgotten: nobody answers about " + id);
+                if (nowS - Math.max(startS, job.lastAnsweredAtS) > ANSWERED_S) {
+                    recordViolation("no controller answers about " + id);
                 }
                 if (isRunning(id) && services.contains(id)) {
                     continue;
                 }
-                if (isRunning(id) || cancelAcknowledgedAtS.containsKey(id) || failingJobs.contains(id) || !room(a)) {
-                    a.waitsSince = Double.NaN;
-                } else if (Double.isNaN(a.waitsSince)) {
-                    a.waitsSince = nowS;
+                if (isRunning(id)
+                        || cancelAcknowledgedAtS.containsKey(id)
+                        || failingJobs.contains(id)
+                        || !hasFreeCapacity(job)) {
+                    job.waitingSinceS = Double.NaN;
+                } else if (Double.isNaN(job.waitingSinceS)) {
+                    job.waitingSinceS = nowS;
                 }
-                if (nowS - a.waitsSince > BESIDE_ROOM_S) {
-                    recordViolation("waits beside room: " + id);
+                if (nowS - job.waitingSinceS > MAX_WAIT_WITH_FREE_CAPACITY_S) {
+                    recordViolation("waits although a machine has free capacity: " + id);
                 }
-                all = false;
+                allSettled = false;
             }
-            if (all || !violations.isEmpty()) {
+            if (allSettled || !violations.isEmpty()) {
                 return;
             }
-            turn++;
+            second++;
             runFor(1);
         }
         for (String id : acceptedJobs()) {
-            if (asked.get(id).outcome == null && !(services.contains(id) && isRunning(id))) {
-                recordViolation("not over: " + id);
+            if (submittedJobs.get(id).outcome == null && !(services.contains(id) && isRunning(id))) {
+                recordViolation("not settled: " + id);
             }
         }
     }
 
     boolean isRunning(String id) {
-        for (Worker w : workers.values()) {
-            for (Task t : w.activeTasks()) {
-                if (t.jobId.equals(id)) {
+        for (Worker worker : workers.values()) {
+            for (Task task : worker.activeTasks()) {
+                if (task.jobId.equals(id)) {
                     return true;
                 }
             }
@@ -380,42 +388,45 @@
         return false;
     }
 
-    private boolean room(Asked a) {
-        Team t = teams.get(a.team);
-        if (t != null && t.maxCpus() > 0 && usedCpus(a.team) + a.cpus > t.maxCpus()) {
+    /** Whether the team's limit and some working machine leave capacity for one more task of the job. */
+    private boolean hasFreeCapacity(SubmittedJob job) {
+        Team team = teams.get(job.team);
+        if (team != null && team.maxCpus() > 0 && usedCpus(job.team) + job.cpus > team.maxCpus()) {
             return false;
         }
-        for (Worker w : workers.values()) {
-            if (w.terminated
-                    || w.disconnected
-                    || w.inboundBlocked
-                    || w.reportsBlocked
-                    || w.failsAllTasks
-                    || w.hungUntilS > nowS
-                    || !w.willBoot
-                    || nowS < w.rentedAtS + w.bootDurationS) {
+        for (Worker worker : workers.values()) {
+            if (worker.terminated
+                    || worker.disconnected
+                    || worker.inboundBlocked
+                    || worker.reportsBlocked
+                    || worker.failsAllTasks
+                    || worker.hungUntilS > nowS
+                    || !worker.willBoot
+                    || nowS < worker.rentedAtS + worker.bootDurationS) {
                 continue;
             }
-            if (a.zone != null && !a.zone.equals(w.zone)) {
+            if (job.zone != null && !job.zone.equals(worker.zone)) {
                 continue;
             }
-            double used = 0;
-            for (Task u : w.activeTasks()) {
-                used += asked.get(u.jobId).cpus;
+            double usedCpus = 0;
+            for (Task task : worker.activeTasks()) {
+                usedCpus += submittedJobs.get(task.jobId).cpus;
             }
-            if (used + a.cpus <= MACHINE_CPUS) {
+            if (usedCpus + job.cpus <= MACHINE_CPUS) {
                 return true;
             }
         }
         return false;
     }
 
+    /** Schedules an action; actions due at the same time run in the order in which they were scheduled. */
     void schedule(double delayS, Runnable action) {
-        events.add(new Event(nowS + delayS, order++, action));
+        events.add(new Event(nowS + delayS, nextEventNumber++, action));
     }
 
-    void recordViolation(String s) {
-        violations.add(Math.round(nowS - 1000) + " s: " + s);
+    /** Records a breach of a guarantee, with the seconds since the start of the simulation. */
+    void recordViolation(String violation) {
+        violations.add(Math.round(nowS - 1000) + " s: " + violation);
     }
 
     List<String> violations() {
@@ -423,18 +434,18 @@
     }
 
     void runFor(double seconds) {
-        double end = nowS + seconds;
-        while (!events.isEmpty() && events.peek().at() <= end) {
-            Event e = events.poll();
-            nowS = Math.max(nowS, e.at());
-            e.run().run();
+        double endS = nowS + seconds;
+        while (!events.isEmpty() && events.peek().atS() <= endS) {
+            Event event = events.poll();
+            nowS = Math.max(nowS, event.atS());
+            event.action().run();
         }
-        nowS = end;
+        nowS = endS;
     }
 
-    /** Runs until a condition holds; false if it never did. */
+    /** Runs until the condition holds, checked four times a second; returns false if it does not hold in time. */
     boolean runUntil(double timeoutS, java.util.function.BooleanSupplier condition) {
-        for (double t = 0; t < timeoutS; t += 0.25) {
+        for (double elapsedS = 0; elapsedS < timeoutS; elapsedS += 0.25) {
             if (condition.getAsBoolean()) {
                 return true;
             }
@@ -443,50 +454,52 @@
         return condition.getAsBoolean();
     }
 
+    /** Returns the running controller that leads, with the highest token if several do; null if none leads. */
     ControllerProcess leader() {
-        ControllerProcess best = null;
-        for (ControllerProcess n : controllers) {
-            if (n.up && n.controller.isLeading() && (best == null || n.token() > best.token())) {
-                best = n;
+        ControllerProcess leader = null;
+        for (ControllerProcess process : controllers) {
+            if (process.up && process.controller.isLeading() && (leader == null || process.token() > leader.token())) {
+                leader = process;
             }
         }
-        return best;
+        return leader;
     }
 
     // ---- controllers ------------------------------------------------------------------------------------------
 
+    /** A controller without sockets, which can be killed, restarted, paused and cut off. */
     final class ControllerProcess {
         final String label;
-        private final int count;
+        private final int controllerCount;
         private final List<Team> teams;
         boolean up;
-        /** What it can reach. */
+        /** How requests to the state service fare. */
         FakeStateService.Link stateLink = FakeStateService.Link.HEALTHY;
 
-        /** Milliseconds by which its time of day differs from the true one; within {@link #MAX_CLOCK_SKEW_MS}. */
+        /** Milliseconds by which its epoch time differs from the simulated time; at most {@link #MAX_CLOCK_SKEW_MS}. */
         long clockSkewMs;
 
         boolean cutFromPeers;
         boolean cutFromWorkers;
-        /** Whether it is in a zone that is cut off from the rest. */
+        /** Whether the controller is in a zone that is cut off from all other zones. */
         boolean inIsolatedZone;
 
-        private int process;
-        /** When it goes on, while it stands still: nothing of it runs, but its clocks do. */
+        private int incarnation;
+        /** End of the process pause in simulated seconds. During a pause nothing of the process runs; its clocks go on. */
         double pausedUntilS;
-        /** The start of a path: it stands still for so long just between deciding on such a call and sending it. */
+        /** The next request whose path starts with this prefix is sent after a pause; null for none. */
         String pauseBeforePath;
 
         double pauseDurationS;
-        /** Whether its next process is of the version in production: it says nothing of itself and knows no newer field. */
-        boolean oldVersion;
+        /** Whether the next incarnation imitates the production version: no version announcement, no newer record fields. */
+        boolean runsProductionVersion;
 
         Controller controller;
         UserRequestHandler users;
 
-        ControllerProcess(String label, int count, List<Team> teams) {
+        ControllerProcess(String label, int controllerCount, List<Team> teams) {
             this.label = label;
-            this.count = count;
+            this.controllerCount = controllerCount;
             this.teams = teams;
         }
 
@@ -499,19 +512,19 @@
         }
 
         void start() {
-            int mine = ++process;
-            List<Settings.Peer> others = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
+            int ownIncarnation = ++incarnation;
+            List<Settings.Peer> peers = new ArrayList<>();
+            for (int i = 0; i < controllerCount; i++) {
                 if (!label.equals("c-" + i)) {
-                    others.add(new Settings.Peer("c-" + i, "x:1"));
+                    peers.add(new Settings.Peer("c-" + i, "x:1"));
                 }
             }
-            Settings s = new Settings(
+            Settings settings = new Settings(
                     label,
                     "a",
                     "x:1",
                     "x:2",
-                    others,
+                    peers,
                     "x:3",
                     "x:4",
                     MAX_CLOCK_SKEW_MS,
@@ -525,161 +538,166 @@
                     200,
                     25,
                     8,
-                    leastValueKb,
+                    strictestValueLimitKb,
                     txnOps,
                     4,
                     10,
                     1000,
                     360);
-            HttpTransport plain = stateService.connectionFrom(
+            HttpTransport stateConnection = stateService.connectionFrom(
                     this, () -> inIsolatedZone ? FakeStateService.Link.PARTITIONED : stateLink);
-            HttpTransport st = alive(mine, oldVersion ? asProduction(plain) : plain);
-            StateClient client = new StateClient(st, st, () -> nowS, 200, count);
+            HttpTransport stateTransport = boundToIncarnation(
+                    ownIncarnation, runsProductionVersion ? filterAsProduction(stateConnection) : stateConnection);
+            StateClient stateClient = new StateClient(stateTransport, stateTransport, () -> nowS, 200, controllerCount);
             Environment environment = new Environment(
-                    s,
-                    oldVersion ? OperatorSettings.defaults() : operators,
-                    client,
-                    alive(mine, cloud::call),
-                    a -> alive(mine, commands(a, this)),
+                    settings,
+                    runsProductionVersion ? OperatorSettings.defaults() : operators,
+                    stateClient,
+                    boundToIncarnation(ownIncarnation, cloud::call),
+                    address -> boundToIncarnation(ownIncarnation, commandTransport(address, this)),
                     () -> nowS,
                     this::epochMs,
-                    (r, ms) -> schedule(
-                            ms / 1000.0,
-                            () -> awake(() -> {
-                                if (process == mine) {
-                                    r.run();
+                    (action, delayMs) -> schedule(
+                            delayMs / 1000.0,
+                            () -> runAfterPause(() -> {
+                                if (incarnation == ownIncarnation) {
+                                    action.run();
                                 }
                             })));
-            controller = new Controller(environment, new SplittableRandom(label.hashCode() * 31L + process));
-            users = new UserRequestHandler(controller, client, s, this::epochMs);
+            controller = new Controller(environment, new SplittableRandom(label.hashCode() * 31L + incarnation));
+            users = new UserRequestHandler(controller, stateClient, settings, this::epochMs);
             up = true;
             Runnable[] tick = new Runnable[1];
             tick[0] = () -> {
-                if (process != mine) {
+                if (incarnation != ownIncarnation) {
                     return;
                 }
                 if (pausedUntilS > nowS) {
-                    awake(tick[0]);
+                    runAfterPause(tick[0]);
                     return;
                 }
                 controller.tick();
-                noticeLeading();
+                detectTermStart();
                 schedule(Constants.TICK_MS / 1000.0, tick[0]);
             };
             schedule(0, tick[0]);
-            Runnable[] ask = new Runnable[1];
-            ask[0] = () -> {
-                if (process != mine) {
+            Runnable[] pollPeers = new Runnable[1];
+            pollPeers[0] = () -> {
+                if (incarnation != ownIncarnation) {
                     return;
                 }
                 if (pausedUntilS > nowS) {
-                    awake(ask[0]);
+                    runAfterPause(pollPeers[0]);
                     return;
                 }
-                for (ControllerProcess n : controllers) {
-                    if (n == this
-                            || n.pausedUntilS > nowS
-                            || n.cutFromPeers
+                for (ControllerProcess peer : controllers) {
+                    if (peer == this
+                            || peer.pausedUntilS > nowS
+                            || peer.cutFromPeers
                             || cutFromPeers
-                            || n.inIsolatedZone != inIsolatedZone) {
+                            || peer.inIsolatedZone != inIsolatedZone) {
                         continue;
                     }
-                    if (!n.up || peersRefuseConnections) {
-                        controller.recordPeerRefusal(n.label);
+                    if (!peer.up || peersRefuseConnections) {
+                        controller.recordPeerRefusal(peer.label);
                         continue;
                     }
                     controller.handlePeerResponse(
-                            n.label, new PeerConnections.TimedResponse(nowS, n.controller.answerPeerRequest(1)));
+                            peer.label, new PeerConnections.TimedResponse(nowS, peer.controller.answerPeerRequest(1)));
                 }
-                schedule(Constants.PEER_POLL_INTERVAL_MS / 1000.0, ask[0]);
+                schedule(Constants.PEER_POLL_INTERVAL_MS / 1000.0, pollPeers[0]);
             };
-            schedule(0.5, ask[0]);
+            schedule(0.5, pollPeers[0]);
         }
 
-        /** Records come as production would see them, what it does not know left out, and it writes nothing of itself. */
-        private HttpTransport asProduction(HttpTransport c) {
-            return (method, path, body, ms, then) -> {
-                for (Object o : Fields.getList(body == null ? Map.of() : body, "writes")) {
-                    if (String.valueOf(Fields.asMap(o).get("put")).startsWith("v/")) {
+        /** Removes record fields unknown to the production version, and drops writes of the controller's version. */
+        private HttpTransport filterAsProduction(HttpTransport transport) {
+            return (method, path, body, timeoutMs, then) -> {
+                for (Object entry : Fields.getList(body == null ? Map.of() : body, "writes")) {
+                    if (String.valueOf(Fields.asMap(entry).get("put")).startsWith("v/")) {
                         schedule(0.002, () -> then.accept(new PooledHttpClient.Response(200, Map.of(), true)));
                         return;
                     }
                 }
-                c.call(method, path, body, ms, a -> {
+                transport.call(method, path, body, timeoutMs, response -> {
                     if (path.startsWith("/kv/j/")) {
-                        known(a.body(), "v");
+                        rewriteAsProduction(response.body(), "v");
                     }
                     for (String list : List.of("rows", "news")) {
-                        for (Object o : Fields.getList(a.body(), list)) {
-                            Map<String, Object> r = Fields.asMap(o);
-                            String k = Fields.getString(r, "k", Fields.getString(r, "put", ""));
-                            if (k.startsWith("j/")) {
-                                known(r, "v");
+                        for (Object entry : Fields.getList(response.body(), list)) {
+                            Map<String, Object> row = Fields.asMap(entry);
+                            String key = Fields.getString(row, "k", Fields.getString(row, "put", ""));
+                            if (key.startsWith("j/")) {
+                                rewriteAsProduction(row, "v");
                             }
-                            if (k.startsWith("p/")) {
-                                recordViolation("parts while " + label + " cannot read them");
+                            if (key.startsWith("p/")) {
+                                recordViolation("record parts are stored while " + label + " cannot read them");
                             }
                         }
                     }
-                    then.accept(a);
+                    then.accept(response);
                 });
             };
         }
 
-        private void known(Map<String, Object> m, String k) {
-            if (!(m.get(k) instanceof Map)) {
+        /** Replaces a job record by what the production version would write after reading it. */
+        private void rewriteAsProduction(Map<String, Object> row, String field) {
+            if (!(row.get(field) instanceof Map)) {
                 return;
             }
-            if (Fields.asMap(m.get(k)).containsKey("K")) {
-                recordViolation("a record with parts while " + label + " cannot read them");
+            if (Fields.asMap(row.get(field)).containsKey("K")) {
+                recordViolation("a record with parts is stored while " + label + " cannot read it");
             }
-            m.put(k, org.mountlug.store.ProductionCompatibilityTest.rewrittenByProduction(Fields.asMap(m.get(k))));
+            row.put(
+                    field,
+                    org.mountlug.store.ProductionCompatibilityTest.rewrittenByProduction(Fields.asMap(row.get(field))));
         }
 
-        /** Ends, and comes back with the new version. */
+        /** Kills the process and restarts it with the current version. */
         void upgradeAfter(double delayS) {
-            oldVersion = false;
+            runsProductionVersion = false;
             restartAfter(delayS);
         }
 
-        private void noticeLeading() {
+        /** Calls {@link #onTermStart} if the controller has begun a term with a higher token than any before. */
+        private void detectTermStart() {
             if (!controller.isLeading() || controller.token() <= highestToken) {
                 return;
             }
             highestToken = controller.token();
-            for (var f : List.copyOf(onTermStart)) {
-                f.accept(this);
+            for (var action : List.copyOf(onTermStart)) {
+                action.accept(this);
             }
         }
 
-        /** An answer that comes after the process has ended reaches nobody. */
-        private HttpTransport alive(int mine, HttpTransport c) {
-            return (method, path, body, ms, then) -> {
+        /** Wraps a transport so that a response to an earlier incarnation is dropped, and calls wait for the end of a pause. */
+        private HttpTransport boundToIncarnation(int ownIncarnation, HttpTransport transport) {
+            return (method, path, body, timeoutMs, then) -> {
                 if (pauseBeforePath != null && path.startsWith(pauseBeforePath)) {
                     pauseBeforePath = null;
                     pause(pauseDurationS);
                 }
-                awake(() -> c.call(
+                runAfterPause(() -> transport.call(
                         method,
                         path,
                         body,
-                        ms,
-                        a -> awake(() -> {
-                            if (process != mine) {
+                        timeoutMs,
+                        response -> runAfterPause(() -> {
+                            if (incarnation != ownIncarnation) {
                                 return;
                             }
-                            then.accept(a);
-                            noticeLeading();
+                            then.accept(response);
+                            detectTermStart();
                         })));
             };
         }
 
-        /** Now, or as soon as it goes on. */
-        private void awake(Runnable r) {
+        /** Runs the action now, or at the end of the current pause. */
+        private void runAfterPause(Runnable action) {
             if (pausedUntilS > nowS) {
-                schedule(pausedUntilS - nowS, () -> awake(r));
+                schedule(pausedUntilS - nowS, () -> runAfterPause(action));
             } else {
-                r.run();
+                action.run();
             }
         }
 
@@ -690,64 +708,65 @@
         void kill() {
             up = false;
             pausedUntilS = 0;
-            process++;
+            incarnation++;
         }
 
+        /** Kills the process now and starts the next incarnation after the delay. */
         void restartAfter(double delayS) {
             kill();
             schedule(delayS, this::start);
         }
 
-        /** One request of a user, waited for; {@code null} if no answer came in time. */
+        /** Sends a user's request and runs until its response; returns null if none comes within 5 s. */
         Map<String, Object> ask(Consumer<UserRequestHandler.Reply> request) {
             return ask("request", null, request);
         }
 
-        private Map<String, Object> ask(String question, String id, Consumer<UserRequestHandler.Reply> request) {
-            List<Map<String, Object>> got = new ArrayList<>();
+        private Map<String, Object> ask(String requestName, String id, Consumer<UserRequestHandler.Reply> request) {
+            List<Map<String, Object>> responses = new ArrayList<>();
             if (!up || pausedUntilS > nowS) {
                 return null;
             }
-            askAsync(question, id, request, got::add);
-            runUntil(5, () -> !got.isEmpty());
-            return got.isEmpty() ? null : got.get(0);
+            askAsync(requestName, id, request, responses::add);
+            runUntil(5, () -> !responses.isEmpty());
+            return responses.isEmpty() ? null : responses.get(0);
         }
 
-        /** The same without waiting; every answer is held against all that were sent before its question. */
+        /** Sends a request unless the process is down or paused; checks the response if {@code id} is not null. */
         void askAsync(
-                String question,
+                String requestName,
                 String id,
                 Consumer<UserRequestHandler.Reply> request,
                 Consumer<Map<String, Object>> then) {
             if (!up || pausedUntilS > nowS) {
                 return;
             }
-            double askedAt = nowS;
-            int mine = process;
-            request.accept(answer -> {
-                if (process != mine) {
+            double askedAtS = nowS;
+            int ownIncarnation = incarnation;
+            request.accept(response -> {
+                if (incarnation != ownIncarnation) {
                     return;
                 }
-                int status = UserResponseCodec.status(answer);
-                Map<String, Object> m = new LinkedHashMap<>(UserResponseCodec.body(answer));
-                m.put("answer", answer);
+                int status = UserResponseCodec.status(response);
+                Map<String, Object> fields = new LinkedHashMap<>(UserResponseCodec.body(response));
+                fields.put("answer", response);
                 if (id != null) {
-                    checkResponse(id, askedAt, question + " at " + label, status, m);
+                    checkResponse(id, askedAtS, requestName + " at " + label, status, fields);
                 }
-                m.put("code", status);
+                fields.put("code", status);
                 if (then != null) {
-                    then.accept(m);
+                    then.accept(fields);
                 }
             });
         }
 
-        /** The same, read from its socket as soon as it goes on if it stands still now. */
+        /** Sends a user's request without waiting; a paused process reads the request from its socket after the pause. */
         void askAsyncThroughSocket(
-                String question,
+                String requestName,
                 String id,
                 Consumer<UserRequestHandler.Reply> request,
                 Consumer<Map<String, Object>> then) {
-            awake(() -> askAsync(question, id, request, then));
+            runAfterPause(() -> askAsync(requestName, id, request, then));
         }
 
         Map<String, Object> poll(String id) {
@@ -767,44 +786,45 @@
             return ask("submission", id, r -> users.submit(body, r));
         }
 
+        /** Builds a submission and, unless the job was accepted before, records what it asks for. */
         byte[] buildSubmission(String id, int tasks, boolean gang, Map<String, Object> extraFields) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("nameId", id);
-            m.put("lane", "l");
-            m.put("crew", "t");
-            m.put("shape", gang ? "group" : "array");
-            m.put("urgency", "high");
-            m.put("pieces", tasks);
-            m.put("vcpus", 1.0);
-            m.put("cards", 0.0);
-            m.put("ramGb", 2.0);
-            m.put("bundle", "i");
-            m.put("imageGb", 0.0);
-            m.put("oneZone", false);
-            m.put("apart", false);
-            m.put("loaners", true);
-            m.put("expectedS", taskDurationS);
-            m.put("bookmarkS", 0.0);
-            m.put("stashS", 0.0);
-            m.putAll(extraFields);
-            if ("daemon".equals(m.get("shape")) && !asked.getOrDefault(id, NOBODY).accepted) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("nameId", id);
+            fields.put("lane", "l");
+            fields.put("crew", "t");
+            fields.put("shape", gang ? "group" : "array");
+            fields.put("urgency", "high");
+            fields.put("pieces", tasks);
+            fields.put("vcpus", 1.0);
+            fields.put("cards", 0.0);
+            fields.put("ramGb", 2.0);
+            fields.put("bundle", "i");
+            fields.put("imageGb", 0.0);
+            fields.put("oneZone", false);
+            fields.put("apart", false);
+            fields.put("loaners", true);
+            fields.put("expectedS", taskDurationS);
+            fields.put("bookmarkS", 0.0);
+            fields.put("stashS", 0.0);
+            fields.putAll(extraFields);
+            if ("daemon".equals(fields.get("shape")) && !submittedJobs.getOrDefault(id, NEVER_SUBMITTED).accepted) {
                 services.add(id);
             }
-            byte[] body = Cbor.write(m);
-            Asked a = asked.computeIfAbsent(id, k -> new Asked());
-            if (!a.accepted) {
-                sizes.put(id, tasks);
+            byte[] body = Cbor.write(fields);
+            SubmittedJob job = submittedJobs.computeIfAbsent(id, key -> new SubmittedJob());
+            if (!job.accepted) {
+                taskCounts.put(id, tasks);
                 gangs.put(id, gang);
-                bodies.put(id, body);
-                a.team = String.valueOf(m.get("crew"));
-                a.cpus = m.get("vcpus") instanceof Number n ? n.doubleValue() : 0;
-                a.zone = (String) m.get("site");
-                a.oneZone = Boolean.TRUE.equals(m.get("oneZone"));
+                submissionBodies.put(id, body);
+                job.team = String.valueOf(fields.get("crew"));
+                job.cpus = fields.get("vcpus") instanceof Number cpus ? cpus.doubleValue() : 0;
+                job.zone = (String) fields.get("site");
+                job.oneZone = Boolean.TRUE.equals(fields.get("oneZone"));
             }
             return body;
         }
 
-        /** Sends a new submission without waiting. */
+        /** Sends an array's submission without waiting. */
         void submitAsync(String id, int tasks) {
             submitAsync(id, tasks, false, Map.of());
         }
@@ -817,39 +837,39 @@
             askAsync("submission", id, r -> users.submit(body, r), null);
         }
 
-        /** Sends the submission once more, as it was. */
+        /** Sends again the last submission that was built before the job was accepted. */
         void resubmit(String id) {
-            askAsync("submission", id, r -> users.submit(bodies.get(id), r), null);
+            askAsync("submission", id, r -> users.submit(submissionBodies.get(id), r), null);
         }
     }
 
-    /** Submits until accepted, at any node that is up. */
+    /** Submits at all controllers in turn until one accepts; records a violation if none does within 60 rounds. */
     void submitUntilAccepted(String id, int tasks, boolean gang, Map<String, Object> extraFields) {
-        for (int i = 0; i < 60; i++) {
-            for (ControllerProcess n : controllers) {
-                Map<String, Object> a = n.submit(id, tasks, gang, extraFields);
-                if (a != null && ((int) a.get("code") == 201 || (int) a.get("code") == 200)) {
+        for (int round = 0; round < 60; round++) {
+            for (ControllerProcess process : controllers) {
+                Map<String, Object> response = process.submit(id, tasks, gang, extraFields);
+                if (response != null && ((int) response.get("code") == 201 || (int) response.get("code") == 200)) {
                     return;
                 }
             }
             runFor(1);
         }
-        recordViolation(id + " was not accepted in a minute");
+        recordViolation(id + " was not accepted in 60 rounds");
     }
 
     void submitUntilAccepted(String id, int tasks, boolean gang) {
         submitUntilAccepted(id, tasks, gang, Map.of());
     }
 
-    /** What any node says of the job within so many seconds; "unanswered" if none did. */
+    /** Returns the job's status from the first controller that answers, "unknown" for 404, or "unanswered" after the timeout. */
     String pollStatus(String id, double timeoutS) {
-        for (double end = nowS + timeoutS; nowS < end; runFor(1)) {
-            for (ControllerProcess n : controllers) {
-                Map<String, Object> a = n.poll(id);
-                if (a != null && (int) a.get("code") == 200) {
-                    return (String) a.get("status");
+        for (double endS = nowS + timeoutS; nowS < endS; runFor(1)) {
+            for (ControllerProcess process : controllers) {
+                Map<String, Object> response = process.poll(id);
+                if (response != null && (int) response.get("code") == 200) {
+                    return (String) response.get("status");
                 }
-                if (a != null && (int) a.get("code") == 404) {
+                if (response != null && (int) response.get("code") == 404) {
                     return "unknown";
                 }
             }
@@ -857,40 +877,40 @@
         return "unanswered";
     }
 
-    /** The way directly to a worker, which its address names. */
-    private HttpTransport commands(String address, ControllerProcess from) {
-        return (method, path, body, ms, then) -> {
-            Worker w = workers.get(address);
-            if (w == null || !w.reaches(from)) {
-                schedule(ms / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), false)));
+    /** Returns the transport for direct commands from a controller to the worker at the address. */
+    private HttpTransport commandTransport(String address, ControllerProcess from) {
+        return (method, path, body, timeoutMs, then) -> {
+            Worker worker = workers.get(address);
+            if (worker == null || !worker.reaches(from)) {
+                schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), false)));
                 return;
             }
-            boolean[] over = new boolean[1];
-            Runnable carry = () -> w.handleCommands(
+            boolean[] answered = new boolean[1];
+            Runnable deliver = () -> worker.handleCommands(
                     body,
-                    a -> schedule(0.001, () -> {
-                        if (!over[0]) {
-                            then.accept(a);
+                    response -> schedule(0.001, () -> {
+                        if (!answered[0]) {
+                            then.accept(response);
                         }
-                        over[0] = true;
+                        answered[0] = true;
                     }));
-            if (w.hungUntilS > nowS) {
-                schedule(ms / 1000.0, () -> {
-                    if (!over[0]) {
+            if (worker.hungUntilS > nowS) {
+                schedule(timeoutMs / 1000.0, () -> {
+                    if (!answered[0]) {
                         then.accept(new PooledHttpClient.Response(0, Map.of(), true));
                     }
-                    over[0] = true;
+                    answered[0] = true;
                 });
             }
-            if (!w.inboundBlocked && commandDelayS == 0) {
-                schedule(0.001, carry);
+            if (!worker.inboundBlocked && commandDelayS == 0) {
+                schedule(0.001, deliver);
             } else {
-                if (w.inboundBlocked) {
-                    heldCommands.add(carry);
+                if (worker.inboundBlocked) {
+                    heldCommands.add(deliver);
                 } else {
-                    schedule(commandDelayS, carry);
+                    schedule(commandDelayS, deliver);
                 }
-                schedule(ms / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
+                schedule(timeoutMs / 1000.0, () -> then.accept(new PooledHttpClient.Response(0, Map.of(), true)));
             }
         };
     }
@@ -898,24 +918,26 @@
     // ---- machines ---------------------------------------------------------------------------------------------
 
     Worker addMachine(String zone) {
-        Worker w = new Worker(String.format("n-%06d", ++machinesRented), zone);
-        workers.put(w.name, w);
+        Worker worker = new Worker(String.format("n-%06d", ++machinesRented), zone);
+        workers.put(worker.name, worker);
         if (everyNthNeverBoots == 0 || machinesRented % everyNthNeverBoots > 0) {
-            schedule(w.bootDurationS, w::sendReport);
-            schedule(w.bootDurationS, w::live);
-            w.willBoot = true;
+            schedule(worker.bootDurationS, worker::sendReport);
+            schedule(worker.bootDurationS, worker::advanceTasks);
+            worker.willBoot = true;
         }
-        return w;
+        return worker;
     }
 
     // ---- workers ----------------------------------------------------------------------------------------------
 
+    /** An attempt on a machine. */
     final class Task {
         final String jobId;
         final int index;
         final long attempt;
         AttemptState state = AttemptState.RUNNING;
         ExitCause cause = ExitCause.NONE;
+        /** Seconds of its run time that have passed. */
         double ranS;
 
         Task(String job, int index, long attempt) {
@@ -925,9 +947,10 @@
         }
     }
 
+    /** A machine and its worker. */
     final class Worker {
         final String name;
-        /** Where orders reach it. */
+        /** The address to which direct commands are sent. */
         String address;
 
         final Map<String, Task> tasks = new LinkedHashMap<>();
@@ -939,35 +962,35 @@
         boolean terminated;
         final double rentedAtS = nowS;
         final double bootDurationS = machineBootS * bootSlowdownFactor;
-        /** Whether it ever comes up. */
+        /** Whether the machine comes up at the end of its boot time; false if never. */
         boolean willBoot;
 
         double crashedAtS = Double.POSITIVE_INFINITY;
-        /** When the cloud takes it, which its reports announce; NaN while it does not. */
+        /** When the cloud reclaims the machine, which its reports announce; {@code NaN} if it is not to be reclaimed. */
         double reclaimedAtS = Double.NaN;
-        /** Every task that starts fails. */
+        /** Whether every task that runs here fails. */
         boolean failsAllTasks;
-        /** How many times slower than others it runs tasks. */
+        /** Factor on the run time of tasks here. */
         double slowdownFactor = 1;
-        /** Reports leave, answers do not come. */
+        /** Whether inbound traffic is lost: reports leave, but neither responses nor direct commands arrive. */
         boolean inboundBlocked;
-        /** Nothing leaves. */
+        /** Whether the machine is cut off from all controllers. */
         boolean disconnected;
-        /** No report leaves, but orders sent directly here arrive. */
+        /** Whether reports are lost while direct commands arrive. */
         boolean reportsBlocked;
-        /** Whether it is in a zone that is cut off from the rest. */
+        /** Whether the machine is in a zone that is cut off from all other zones. */
         boolean inIsolatedZone;
 
         final String zone;
-        /** When it goes on, while it hangs: tasks stand still, and so does what it would hear or say. */
+        /** End of a hang in simulated seconds. While the machine hangs, tasks, reports and incoming messages wait. */
         double hungUntilS;
-        /** Seconds by which its reports are held up on their way; the answers are not. */
+        /** Seconds by which reports are delayed on their way; responses are not. */
         double reportDelayS;
-        /** Whether a report of its was overtaken by the answer to orders sent directly here, and answered all the same. */
+        /** Whether a report reached the leader after this worker had responded to a later direct command. */
         boolean reportOvertaken;
 
-        private long direct;
-        /** Every report sent, for late copies. */
+        private long lastDirectSequence;
+        /** All reports sent, for tests that replay them. */
         final List<Report> sentReports = new ArrayList<>();
 
         int startCount;
@@ -979,21 +1002,21 @@
             this.leaseStartS = nowS + bootDurationS;
         }
 
-        boolean reaches(ControllerProcess n) {
-            return !disconnected && !n.cutFromWorkers && inIsolatedZone == n.inIsolatedZone;
+        boolean reaches(ControllerProcess process) {
+            return !disconnected && !process.cutFromWorkers && inIsolatedZone == process.inIsolatedZone;
         }
 
-        /** Tasks on the machine; a hung one that its lease has outrun will kill them before anything else. */
+        /** Returns tasks that have not exited; none after the lease's end, as a hung worker kills them when it goes on. */
         List<Task> activeTasks() {
             if (terminated || tasks.isEmpty() || nowS - leaseStartS > workerLeaseS + 0.1) {
                 return List.of();
             }
             return tasks.values().stream()
-                    .filter(t -> t.state != AttemptState.EXITED)
+                    .filter(task -> task.state != AttemptState.EXITED)
                     .toList();
         }
 
-        /** Stops with all that is on it; the cloud's list tells so half a minute later. */
+        /** Ends the machine with all its tasks; the cloud's machine list shows the failure later. */
         void crash() {
             terminate();
             crashedAtS = nowS;
@@ -1004,13 +1027,13 @@
             tasks.clear();
         }
 
-        /** Lease and running tasks, ten times a second. */
-        void live() {
+        /** Kills all tasks if the worker lease has ended, and advances running tasks; runs ten times a second. */
+        void advanceTasks() {
             if (terminated) {
                 return;
             }
             if (hungUntilS > nowS) {
-                schedule(hungUntilS - nowS, this::live);
+                schedule(hungUntilS - nowS, this::advanceTasks);
                 return;
             }
             if (nowS - leaseStartS > workerLeaseS) {
@@ -1019,55 +1042,60 @@
                 leaseStartS = nowS;
             }
             boolean changed = false;
-            for (Task t : tasks.values()) {
-                if (t.state == AttemptState.WAITING_FOR_GANG && together(t)) {
-                    t.state = AttemptState.RUNNING;
+            for (Task task : tasks.values()) {
+                if (task.state == AttemptState.WAITING_FOR_GANG && isGangComplete(task)) {
+                    task.state = AttemptState.RUNNING;
                 }
-                if (t.state != AttemptState.RUNNING) {
+                if (task.state != AttemptState.RUNNING) {
                     continue;
                 }
-                t.ranS += 0.1 / slowdownFactor;
-                boolean fails = failsAllTasks || failingJobs.contains(t.jobId);
-                boolean service = services.contains(t.jobId);
-                if (fails || t.ranS >= taskDurationS && (!service || replicaExitCause != null)) {
-                    t.state = AttemptState.EXITED;
-                    t.cause = fails ? ExitCause.ERROR : service ? replicaExitCause : ExitCause.DONE;
-                    if (t.cause == ExitCause.DONE && asked.containsKey(t.jobId)) {
-                        asked.get(t.jobId).completed.add(t.index);
+                task.ranS += 0.1 / slowdownFactor;
+                boolean fails = failsAllTasks || failingJobs.contains(task.jobId);
+                boolean isService = services.contains(task.jobId);
+                if (fails || task.ranS >= taskDurationS && (!isService || replicaExitCause != null)) {
+                    task.state = AttemptState.EXITED;
+                    task.cause = fails ? ExitCause.ERROR : isService ? replicaExitCause : ExitCause.DONE;
+                    if (task.cause == ExitCause.DONE && submittedJobs.containsKey(task.jobId)) {
+                        submittedJobs.get(task.jobId).completedTasks.add(task.index);
                     }
                     changed = true;
                 }
             }
-            schedule(0.1, this::live);
-        }
-
-        private boolean together(Task t) {
-            int n = 0;
-            for (Worker w : workers.values()) {
-                for (Task u : w.tasks.values()) {
-                    if (u.jobId.equals(t.jobId) && u.attempt == t.attempt && u.state != AttemptState.EXITED) {
-                        n++;
+            schedule(0.1, this::advanceTasks);
+        }
+
+        /** Whether all tasks of the gang are on machines with the same attempt number. */
+        private boolean isGangComplete(Task task) {
+            int presentTasks = 0;
+            for (Worker worker : workers.values()) {
+                for (Task other : worker.tasks.values()) {
+                    if (other.jobId.equals(task.jobId)
+                            && other.attempt == task.attempt
+                            && other.state != AttemptState.EXITED) {
+                        presentTasks++;
                     }
                 }
             }
-            return n >= sizes.get(t.jobId);
+            return presentTasks >= taskCounts.get(task.jobId);
         }
 
         Report createReport() {
-            List<Report.AttemptStatus> items = new ArrayList<>();
-            for (Task t : tasks.values()) {
-                items.add(new Report.AttemptStatus(t.jobId, t.index, t.attempt, t.state, t.cause, false));
+            List<Report.AttemptStatus> attempts = new ArrayList<>();
+            for (Task task : tasks.values()) {
+                attempts.add(
+                        new Report.AttemptStatus(task.jobId, task.index, task.attempt, task.state, task.cause, false));
             }
-            double noticeS = reclaimedAtS - nowS;
-            return new Report(name, name, "small", zone, false, session, ++sequence, token, noticeS, items);
+            double reclaimInS = reclaimedAtS - nowS;
+            return new Report(name, name, "small", zone, false, session, ++sequence, token, reclaimInS, attempts);
         }
 
+        /** Sends a report to the current controller; moves on to the next controller if it cannot be reached. */
         void sendReport() {
             if (terminated) {
                 return;
             }
             if (hungUntilS > nowS) {
-                // On waking, the lease is looked at before anything is said.
+                // After the hang, the lease is checked before a report is sent.
                 schedule(hungUntilS - nowS + 0.001, this::sendReport);
                 return;
             }
@@ -1075,74 +1103,76 @@
                 reportSender.accept(this);
                 return;
             }
-            ControllerProcess n = controllers.get(controllerIndex);
-            if (reportsBlocked || !reaches(n) || !n.up) {
-                elsewhere(reportsBlocked || !reaches(n) ? 5 : 1);
+            ControllerProcess process = controllers.get(controllerIndex);
+            if (reportsBlocked || !reaches(process) || !process.up) {
+                reportToNextController(reportsBlocked || !reaches(process) ? 5 : 1);
                 return;
             }
-            Report r = createReport();
-            sentReports.add(r);
-            double sentAt = nowS;
+            Report report = createReport();
+            sentReports.add(report);
+            double sentAtS = nowS;
             schedule(0.002 + reportDelayS, () -> {
-                reportOvertaken |= direct > r.sequence() && n.up && n.controller.isLeading();
-                if (n.pausedUntilS > nowS) {
-                    // It waits in the socket and is read on waking, when nobody waits for the answer any more.
-                    schedule(n.pausedUntilS - nowS, () -> {
-                        if (n.up) {
-                            n.controller.handleReport(r);
+                reportOvertaken |=
+                        lastDirectSequence > report.sequence() && process.up && process.controller.isLeading();
+                if (process.pausedUntilS > nowS) {
+                    // The report waits in the socket; when it is read, the worker no longer waits for a response.
+                    schedule(process.pausedUntilS - nowS, () -> {
+                        if (process.up) {
+                            process.controller.handleReport(report);
                         }
                     });
-                    schedule(5, () -> elsewhere(0));
+                    schedule(5, () -> reportToNextController(0));
                     return;
                 }
-                Controller.ReportResponse b = n.up ? n.controller.handleReport(r) : null;
+                Controller.ReportResponse response = process.up ? process.controller.handleReport(report) : null;
                 if (inboundBlocked) {
-                    schedule(5, () -> elsewhere(0));
+                    schedule(5, () -> reportToNextController(0));
                 } else {
-                    schedule(0.002, () -> handleReportResponse(b, sentAt, r.session()));
+                    schedule(0.002, () -> handleReportResponse(response, sentAtS, report.session()));
                 }
             });
         }
 
-        private void elsewhere(double s) {
+        private void reportToNextController(double delayS) {
             controllerIndex = (controllerIndex + 1) % controllers.size();
-            schedule(s, this::sendReport);
+            schedule(delayS, this::sendReport);
         }
 
-        void handleReportResponse(Controller.ReportResponse b, double sentAt, long inSession) {
+        /** Handles the response to a report sent in {@code reportSession}; null if the request failed. */
+        void handleReportResponse(Controller.ReportResponse response, double sentAtS, long reportSession) {
             if (terminated) {
                 return;
             }
             if (hungUntilS > nowS) {
                 schedule(
                         hungUntilS - nowS + 0.001,
-                        () -> handleReportResponse(nowS - sentAt > 4 ? null : b, sentAt, inSession));
+                        () -> handleReportResponse(nowS - sentAtS > 4 ? null : response, sentAtS, reportSession));
                 return;
             }
-            if (b instanceof Controller.ReportResponse.Commands o) {
-                if (inSession == session && o.token() >= token) {
-                    token = o.token();
-                    leaseStartS = Math.max(leaseStartS, sentAt);
-                    for (Command x : o.commands()) {
-                        carryOut(x);
+            if (response instanceof Controller.ReportResponse.Commands commands) {
+                if (reportSession == session && commands.token() >= token) {
+                    token = commands.token();
+                    leaseStartS = Math.max(leaseStartS, sentAtS);
+                    for (Command command : commands.commands()) {
+                        executeCommand(command);
                     }
                 }
-                schedule(o.commands().isEmpty() ? 2 : 0.5, this::sendReport);
-            } else if (b instanceof Controller.ReportResponse.NotLeader e
-                    && e.leader() != null
-                    && !e.leader().equals(controllers.get(controllerIndex).label)) {
+                schedule(commands.commands().isEmpty() ? 2 : 0.5, this::sendReport);
+            } else if (response instanceof Controller.ReportResponse.NotLeader notLeader
+                    && notLeader.leader() != null
+                    && !notLeader.leader().equals(controllers.get(controllerIndex).label)) {
                 for (int i = 0; i < controllers.size(); i++) {
-                    if (controllers.get(i).label.equals(e.leader())) {
+                    if (controllers.get(i).label.equals(notLeader.leader())) {
                         controllerIndex = i;
                     }
                 }
                 schedule(0.2, this::sendReport);
             } else {
-                elsewhere(1);
+                reportToNextController(1);
             }
         }
 
-        /** Orders sent directly here: refused under a lower token or for another session. */
+        /** Handles direct commands; refuses those with a lower token than seen before or for another session. */
         void handleCommands(Map<String, Object> body, Consumer<PooledHttpClient.Response> then) {
             if (terminated) {
                 return;
@@ -1151,42 +1181,44 @@
                 schedule(hungUntilS - nowS + 0.001, () -> handleCommands(body, then));
                 return;
             }
-            boolean good = Fields.getLong(body, "baton", 0) >= token && Fields.getLong(body, "stint", 0) == session;
-            if (good) {
+            boolean accepted = Fields.getLong(body, "baton", 0) >= token && Fields.getLong(body, "stint", 0) == session;
+            if (accepted) {
                 token = Fields.getLong(body, "baton", 0);
-                for (Object o : Fields.getList(body, "orders")) {
-                    Map<String, Object> c = Fields.asMap(o);
-                    Command.Verb v =
-                            switch (Fields.getString(c, "verb", "")) {
+                for (Object entry : Fields.getList(body, "orders")) {
+                    Map<String, Object> command = Fields.asMap(entry);
+                    Command.Verb verb =
+                            switch (Fields.getString(command, "verb", "")) {
                                 case "start" -> Command.Verb.START;
                                 case "kill" -> Command.Verb.STOP;
                                 default -> Command.Verb.FORGET;
                             };
-                    carryOut(new Command(
-                            v,
-                            Fields.getString(c, "piece"),
-                            Fields.getLong(c, "try", 0),
-                            Fields.getDouble(c, "leewayS", 0)));
+                    executeCommand(new Command(
+                            verb,
+                            Fields.getString(command, "piece"),
+                            Fields.getLong(command, "try", 0),
+                            Fields.getDouble(command, "leewayS", 0)));
                 }
             }
-            Report r = createReport();
-            direct = r.sequence();
-            then.accept(new PooledHttpClient.Response(good ? 200 : 409, reportMessage(r), true));
+            Report report = createReport();
+            lastDirectSequence = report.sequence();
+            then.accept(new PooledHttpClient.Response(accepted ? 200 : 409, reportMessage(report), true));
         }
 
-        /** A report as it is sent. */
-        Map<String, Object> reportMessage(Report r) {
+        /** Returns the report in its form on the wire. */
+        Map<String, Object> reportMessage(Report report) {
             List<Object> pieces = new ArrayList<>();
-            for (Report.AttemptStatus i : r.attempts()) {
-                boolean waits = i.state() == AttemptState.WAITING_FOR_GANG;
-                String cause = i.cause() == ExitCause.DONE ? "done" : i.cause() == ExitCause.STOPPED ? "halted" : null;
+            for (Report.AttemptStatus attempt : report.attempts()) {
+                boolean waitsForGang = attempt.state() == AttemptState.WAITING_FOR_GANG;
+                String cause = attempt.cause() == ExitCause.DONE
+                        ? "done"
+                        : attempt.cause() == ExitCause.STOPPED ? "halted" : null;
                 pieces.add(Fields.orderedMap(
                         "piece",
-                        i.job() + "/" + i.task(),
+                        attempt.job() + "/" + attempt.task(),
                         "try",
-                        i.attempt(),
+                        attempt.attempt(),
                         "status",
-                        i.state() == AttemptState.EXITED ? "exited" : waits ? "gathering" : "running",
+                        attempt.state() == AttemptState.EXITED ? "exited" : waitsForGang ? "gathering" : "running",
                         "cause",
                         cause));
             }
@@ -1196,67 +1228,69 @@
                     "build", "small",
                     "site", zone,
                     "loaners", false,
-                    "stint", r.session(),
-                    "tick", r.sequence(),
+                    "stint", report.session(),
+                    "tick", report.sequence(),
                     "baton", token,
                     "pieces", pieces);
         }
 
-        void carryOut(Command o) {
-            int slash = o.taskName().lastIndexOf('/');
-            String job = o.taskName().substring(0, slash);
-            int index = Integer.parseInt(o.taskName().substring(slash + 1));
-            String key = o.taskName() + "#" + o.attempt();
-            Task t = tasks.get(key);
-            switch (o.verb()) {
+        /** Executes a command and checks that the start, if it is one, breaks no guarantee. */
+        void executeCommand(Command command) {
+            int slash = command.taskName().lastIndexOf('/');
+            String job = command.taskName().substring(0, slash);
+            int index = Integer.parseInt(command.taskName().substring(slash + 1));
+            String key = command.taskName() + "#" + command.attempt();
+            Task task = tasks.get(key);
+            switch (command.verb()) {
                 case START -> {
-                    if (t != null) {
+                    if (task != null) {
                         return;
                     }
                     if (stateService.value("j/" + job) == null && stateService.value("f/" + job) == null) {
-                        recordViolation("start of unknown " + job);
+                        recordViolation("started without a job record: " + job);
                     }
-                    Asked a = asked.get(job);
-                    if (a != null && a.zone != null && !a.zone.equals(zone)) {
-                        recordViolation("wrong_place: " + key + " in " + zone);
+                    SubmittedJob submittedJob = submittedJobs.get(job);
+                    if (submittedJob != null && submittedJob.zone != null && !submittedJob.zone.equals(zone)) {
+                        recordViolation("started in a wrong zone: " + key + " in " + zone);
                     }
-                    for (Worker w : workers.values()) {
-                        for (Task u : w.activeTasks()) {
-                            if (!u.jobId.equals(job)) {
+                    for (Worker worker : workers.values()) {
+                        for (Task other : worker.activeTasks()) {
+                            if (!other.jobId.equals(job)) {
                                 continue;
                             }
-                            if (u.index == index) {
-                                recordViolation("ran_twice: " + o.taskName() + " on " + w.name + " and " + name);
+                            if (other.index == index) {
+                                recordViolation(
+                                        "ran twice: " + command.taskName() + " on " + worker.name + " and " + name);
                             }
-                            if (a != null && a.oneZone && !w.zone.equals(zone)) {
-                                recordViolation("wrong_place: " + key + " in two zones");
+                            if (submittedJob != null && submittedJob.oneZone && !worker.zone.equals(zone)) {
+                                recordViolation("started in two zones: " + key);
                             }
                         }
                     }
-                    Double c = cancelAcknowledgedAtS.get(job);
-                    if (c != null && nowS > c + CANCEL_DEADLINE_S) {
-                        recordViolation("ran_cancelled: start of " + key);
+                    Double cancelledAtS = cancelAcknowledgedAtS.get(job);
+                    if (cancelledAtS != null && nowS > cancelledAtS + CANCEL_DEADLINE_S) {
+                        recordViolation("started after its cancellation: " + key);
                     }
-                    if (c != null) {
-                        latestStartAfterCancelS = Math.max(latestStartAfterCancelS, nowS - c);
+                    if (cancelledAtS != null) {
+                        latestStartAfterCancelS = Math.max(latestStartAfterCancelS, nowS - cancelledAtS);
                     }
                     startCount++;
                     startsByJob.merge(job, 1, Integer::sum);
                     startLog.add(new TaskStart(nowS, job, index, zone, name));
-                    t = new Task(job, index, o.attempt());
+                    task = new Task(job, index, command.attempt());
                     if (gangs.getOrDefault(job, false)) {
-                        t.state = AttemptState.WAITING_FOR_GANG;
+                        task.state = AttemptState.WAITING_FOR_GANG;
                     }
-                    tasks.put(key, t);
+                    tasks.put(key, task);
                 }
                 case STOP -> {
-                    if (t != null && t.state != AttemptState.EXITED) {
-                        t.state = AttemptState.EXITED;
-                        t.cause = ExitCause.STOPPED;
+                    if (task != null && task.state != AttemptState.EXITED) {
+                        task.state = AttemptState.EXITED;
+                        task.cause = ExitCause.STOPPED;
                     }
                 }
                 case FORGET -> {
-                    if (t != null && t.state == AttemptState.EXITED) {
+                    if (task != null && task.state == AttemptState.EXITED) {
                         tasks.remove(key);
                     }
                 }
--- a/src/test/java/org/mountlug/node/ZoneLossTest.java
+++ b/src/test/java/org/mountlug/node/ZoneLossTest.java
@@ -395,7 +395,9 @@
                 scenario.cluster.stateService.value(StateKeys.ZONES),
                 "not written while one controller cannot read it");
         scenario.rejoin("a");
-        scenario.cluster.controllers.stream().filter(node -> node.oldVersion).forEach(node -> node.upgradeAfter(1));
+        scenario.cluster.controllers.stream()
+                .filter(node -> node.runsProductionVersion)
+                .forEach(node -> node.upgradeAfter(1));
         assertSettles(scenario.cluster, 400);
     }
 
@@ -407,7 +409,7 @@
         scenario.cluster.runFor(3);
         assertNotNull(scenario.cluster.stateService.value(StateKeys.ZONES));
         for (SimulatedCluster.ControllerProcess node : scenario.cluster.controllers) {
-            node.oldVersion = true;
+            node.runsProductionVersion = true;
             node.restartAfter(1);
         }
         scenario.cluster.runFor(15);
