--- a/src/test/java/org/mountlug/node/AdmissionFault.java
+++ b/src/test/java/org/mountlug/node/AdmissionFault.java
@@ -3,75 +3,82 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What fails amid the flood, and for how long nobody can be served at all. */
+/** A fault that is injected into a load of submissions, with the delays that it may cause. */
 enum AdmissionFault {
-    NONE(0, 0, flood -> {}),
-    CLOCK_SKEW(0, 0, flood -> {
-        List<SimulatedCluster.ControllerProcess> nodes = flood.cluster.controllers;
-        for (int i = 0; i < nodes.size(); i++) {
-            nodes.get(i).clockSkewMs =
+    NONE(0, 0, load -> {}),
+    CLOCK_SKEW(0, 0, load -> {
+        List<SimulatedCluster.ControllerProcess> processes = load.cluster.controllers;
+        for (int i = 0; i < processes.size(); i++) {
+            processes.get(i).clockSkewMs =
                     i % 2 == 0 ? SimulatedCluster.MAX_CLOCK_SKEW_MS : -SimulatedCluster.MAX_CLOCK_SKEW_MS;
         }
     }),
-    USERS_IGNORE_RETRY_AFTER(0, 0, flood -> flood.honorsRetryAfter = false),
-    LEADER_RESTARTS_TWICE(0, 6, flood -> {
-        flood.cluster.schedule(15, () -> flood.cluster.leader().restartAfter(0.3));
-        flood.cluster.schedule(35, () -> flood.cluster.leader().restartAfter(5));
+    USERS_IGNORE_RETRY_AFTER(0, 0, load -> load.honorsRetryAfter = false),
+    LEADER_RESTARTS_TWICE(0, 6, load -> {
+        load.cluster.schedule(15, () -> load.cluster.leader().restartAfter(0.3));
+        load.cluster.schedule(35, () -> load.cluster.leader().restartAfter(5));
     }),
-    ANSWERS_LOST(
-            8, 0, flood -> link(flood, flood.cluster.controllers.get(1), FakeStateService.Link.RESPONSES_LOST, 20, 8)),
-    WRITES_DELAYED(8, 8, flood -> link(flood, flood.cluster.leader(), FakeStateService.Link.WRITES_DELAYED, 20, 8)),
-    STATE_SERVICE_REFUSES_FOLLOWER(0, 0, flood -> link(flood, other(flood), FakeStateService.Link.REFUSED, 15, 20)),
+    WRITE_RESPONSES_LOST(
+            8,
+            0,
+            load -> degradeStateLink(
+                    load, load.cluster.controllers.get(1), FakeStateService.Link.RESPONSES_LOST, 20, 8)),
+    WRITES_DELAYED(
+            8, 8, load -> degradeStateLink(load, load.cluster.leader(), FakeStateService.Link.WRITES_DELAYED, 20, 8)),
+    STATE_SERVICE_REFUSES_FOLLOWER(
+            0, 0, load -> degradeStateLink(load, follower(load), FakeStateService.Link.REFUSED, 15, 20)),
     STATE_SERVICE_REFUSES_LEADER(
-            0, 8, flood -> link(flood, flood.cluster.leader(), FakeStateService.Link.REFUSED, 15, 20)),
-    FOLLOWER_PAUSED(0, 0, flood -> flood.cluster.schedule(15, () -> other(flood).pause(30))),
+            0, 8, load -> degradeStateLink(load, load.cluster.leader(), FakeStateService.Link.REFUSED, 15, 20)),
+    FOLLOWER_PAUSED(0, 0, load -> load.cluster.schedule(15, () -> follower(load).pause(30))),
     LEADER_PAUSED(
-            0,
-            8,
-            flood -> flood.cluster.schedule(15, () -> flood.cluster.leader().pause(30))),
-    PEERS_REFUSE_CONNECTIONS(0, 0, flood -> flood.cluster.peersRefuseConnections = true),
-    STATE_SERVICE_OUTAGE(15, 15, flood -> {
-        flood.cluster.schedule(20, () -> flood.cluster.stateService.outage = true);
-        flood.cluster.schedule(35, flood.cluster.stateService::recover);
+            0, 8, load -> load.cluster.schedule(15, () -> load.cluster.leader().pause(30))),
+    PEERS_REFUSE_CONNECTIONS(0, 0, load -> load.cluster.peersRefuseConnections = true),
+    STATE_SERVICE_OUTAGE(15, 15, load -> {
+        load.cluster.schedule(20, () -> load.cluster.stateService.outage = true);
+        load.cluster.schedule(35, load.cluster.stateService::recover);
     }),
     ALL_CONTROLLERS_RESTART(
             12,
             6,
-            flood -> flood.cluster.schedule(20, () -> {
-                List<SimulatedCluster.ControllerProcess> nodes = flood.cluster.controllers;
-                for (int i = 0; i < nodes.size(); i++) {
-                    nodes.get(i).restartAfter(i == 0 ? 0.2 : 4 + i);
+            load -> load.cluster.schedule(20, () -> {
+                List<SimulatedCluster.ControllerProcess> processes = load.cluster.controllers;
+                for (int i = 0; i < processes.size(); i++) {
+                    processes.get(i).restartAfter(i == 0 ? 0.2 : 4 + i);
                 }
             })),
-    FOLLOWER_OF_OLD_VERSION(0, 0, flood -> {
-        SimulatedCluster.ControllerProcess old = other(flood);
-        old.runsProductionVersion = true;
-        old.restartAfter(1);
+    FOLLOWER_OF_PRODUCTION_VERSION(0, 0, load -> {
+        SimulatedCluster.ControllerProcess process = follower(load);
+        process.runsProductionVersion = true;
+        process.restartAfter(1);
     });
 
-    final double unservedS;
-    /** Seconds without a leader that is served. */
+    /** Seconds for which submissions may not be accepted because of the fault. */
+    final double unavailableS;
+    /** Seconds without a leader that reaches the state service. */
     final double leaderlessS;
 
+    /** Schedules the fault on the load's cluster. */
     final Consumer<LoadGenerator> injection;
 
-    AdmissionFault(double unservedS, double leaderlessS, Consumer<LoadGenerator> strike) {
-        this.unservedS = unservedS;
+    AdmissionFault(double unavailableS, double leaderlessS, Consumer<LoadGenerator> injection) {
+        this.unavailableS = unavailableS;
         this.leaderlessS = leaderlessS;
-        this.injection = strike;
+        this.injection = injection;
     }
 
-    private static SimulatedCluster.ControllerProcess other(LoadGenerator flood) {
-        return FaultTestSteps.otherController(flood.cluster, flood.cluster.leader());
+    /** Returns the first controller that runs and does not lead. */
+    private static SimulatedCluster.ControllerProcess follower(LoadGenerator load) {
+        return FaultTestSteps.otherController(load.cluster, load.cluster.leader());
     }
 
-    private static void link(
-            LoadGenerator flood,
-            SimulatedCluster.ControllerProcess node,
+    /** Gives a controller's link to the state service this state for a while, {@code delayS} seconds from now. */
+    private static void degradeStateLink(
+            LoadGenerator load,
+            SimulatedCluster.ControllerProcess process,
             FakeStateService.Link link,
-            double atS,
-            double forS) {
-        flood.cluster.schedule(atS, () -> node.stateLink = link);
-        flood.cluster.schedule(atS + forS, () -> node.stateLink = FakeStateService.Link.HEALTHY);
+            double delayS,
+            double durationS) {
+        load.cluster.schedule(delayS, () -> process.stateLink = link);
+        load.cluster.schedule(delayS + durationS, () -> process.stateLink = FakeStateService.Link.HEALTHY);
     }
 }
--- a/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
@@ -51,7 +51,7 @@
         world.runFor(FLOOD_S + 5);
         assertEquals(List.of(), flood.violations);
         assertEquals(List.of(), world.violations());
-        if (trouble == AdmissionFault.FOLLOWER_OF_OLD_VERSION) {
+        if (trouble == AdmissionFault.FOLLOWER_OF_PRODUCTION_VERSION) {
             return; // it takes in what it can and knows no shares: one decision a submission is all that can hold
         }
         assertTrue(limited <= LIMITED_MOST, "refused by the state service: " + limited);
@@ -60,7 +60,7 @@
             LoadGenerator.QueueStatistics quiet = flood.statistics("b", jobClass);
             assertEquals(quiet.submitted, quiet.accepted, "all of b, which asks within its share");
             assertTrue(
-                    quiet.slowestAcceptanceS <= trouble.unservedS + QUIET_BOUND_S,
+                    quiet.slowestAcceptanceS <= trouble.unavailableS + QUIET_BOUND_S,
                     "slowest of b " + quiet.slowestAcceptanceS);
         }
     }
--- a/src/test/java/org/mountlug/node/AdmissionReplayTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionReplayTest.java
@@ -33,7 +33,7 @@
     private static final List<AdmissionFault> TROUBLES = List.of(
             AdmissionFault.NONE,
             AdmissionFault.LEADER_RESTARTS_TWICE,
-            AdmissionFault.ANSWERS_LOST,
+            AdmissionFault.WRITE_RESPONSES_LOST,
             AdmissionFault.WRITES_DELAYED,
             AdmissionFault.STATE_SERVICE_REFUSES_FOLLOWER,
             AdmissionFault.STATE_SERVICE_REFUSES_LEADER,
@@ -110,7 +110,7 @@
         world.runFor(PERIOD_S);
         highest.keySet().forEach(queue -> {
             LoadGenerator.QueueStatistics outcome = flood.statistics(queue);
-            double faultS = AdmissionFault.STATE_SERVICE_OUTAGE.unservedS + Constants.Admission.OUTAGE_RECOVERY_S;
+            double faultS = AdmissionFault.STATE_SERVICE_OUTAGE.unavailableS + Constants.Admission.OUTAGE_RECOVERY_S;
             double boundS = boundS(queue, highest) + faultS;
             System.out.printf(
                     "replay, seed %d, %.0f min, %s/%s: %d of %d taken in, %d gave up, slowest %.1f s, probe %.1f s of %.1f s%n",
--- a/src/test/java/org/mountlug/node/InjectedFault.java
+++ b/src/test/java/org/mountlug/node/InjectedFault.java
@@ -8,366 +8,386 @@
 import java.util.function.DoubleUnaryOperator;
 import org.mountlug.core.model.Report;
 
-/** The faults that meet in {@link SeededFaultsTest}; each begins at once and ends by itself. */
+/** The faults that {@link SeededFaultsTest} overlaps; each begins when it is injected and ends by itself. */
 enum InjectedFault {
-    /** The leader's process ends and comes back. */
-    LEADER_RESTARTS(scene -> scene.leader().restartAfter(scene.backS())),
-    /** All controllers end and come back. */
-    ALL_CONTROLLERS_RESTART(scene -> {
-        SplittableRandom random = scene.random();
-        double laterS = scene.backS() + Math.min(scene.forS(), 20);
-        for (SimulatedCluster.ControllerProcess node : scene.world().controllers) {
-            node.restartAfter(random.nextBoolean() ? 0.2 + random.nextDouble() : laterS);
+    /** The leader's process is killed and restarts. */
+    LEADER_RESTARTS(context -> context.leader().restartAfter(context.restartDelayS())),
+    /** All controllers are killed and restart, some soon and some later. */
+    ALL_CONTROLLERS_RESTART(context -> {
+        SplittableRandom random = context.random();
+        double laterRestartS = context.restartDelayS() + Math.min(context.durationS(), 20);
+        for (SimulatedCluster.ControllerProcess process : context.cluster().controllers) {
+            process.restartAfter(random.nextBoolean() ? 0.2 + random.nextDouble() : laterRestartS);
         }
     }),
-    /** The state service refuses the leader alone. */
-    STATE_SERVICE_REFUSES_LEADER(scene -> link(scene, scene.leader(), FakeStateService.Link.REFUSED, scene.forS())),
-    /** The state service is out. */
-    STATE_SERVICE_OUTAGE(scene -> {
-        scene.world().stateService.outage = true;
-        scene.atEnd(scene.world().stateService::recover);
+    /** The state service refuses the leader's requests only. */
+    STATE_SERVICE_REFUSES_LEADER(
+            context -> degradeStateLink(context, context.leader(), FakeStateService.Link.REFUSED, context.durationS())),
+    /** The state service is unavailable. */
+    STATE_SERVICE_OUTAGE(context -> {
+        context.cluster().stateService.outage = true;
+        context.atEnd(context.cluster().stateService::recover);
     }),
-    /** The leader loses the state service and its peers; what it sent is carried out late. */
-    LEADER_PARTITIONED(scene -> {
-        FakeStateService state = scene.world().stateService;
-        link(scene, scene.leader(), FakeStateService.Link.PARTITIONED, scene.forS());
-        scene.leader().cutFromPeers = true;
-        scene.atEnd(() -> {
-            scene.leader().cutFromPeers = false;
-            carryOut(state.heldTransactions);
+    /** The leader is cut off from the state service and its peers; its transactions are executed when the fault ends. */
+    LEADER_PARTITIONED(context -> {
+        FakeStateService state = context.cluster().stateService;
+        degradeStateLink(context, context.leader(), FakeStateService.Link.PARTITIONED, context.durationS());
+        context.leader().cutFromPeers = true;
+        context.atEnd(() -> {
+            context.leader().cutFromPeers = false;
+            runHeld(state.heldTransactions);
         });
     }),
-    /** Transactions are carried out, their answers lost. */
-    WRITE_RESPONSES_LOST(scene -> linkAll(scene, FakeStateService.Link.RESPONSES_LOST)),
-    /** Transactions are carried out late, without an answer. */
-    WRITES_DELAYED(scene -> {
-        scene.world().stateService.writeDelayS = 2 + scene.random().nextDouble() * 10;
-        linkAll(scene, FakeStateService.Link.WRITES_DELAYED);
+    /** Transactions are executed, but their responses are lost. */
+    WRITE_RESPONSES_LOST(context -> degradeAllStateLinks(context, FakeStateService.Link.RESPONSES_LOST)),
+    /** Transactions are executed late, without a response. */
+    WRITES_DELAYED(context -> {
+        context.cluster().stateService.writeDelayS = 2 + context.random().nextDouble() * 10;
+        degradeAllStateLinks(context, FakeStateService.Link.WRITES_DELAYED);
     }),
-    /** Machines lose the network. */
-    MACHINES_DISCONNECTED(
-            scene -> scene.forSome(worker -> worker.disconnected = true, worker -> worker.disconnected = false)),
-    /** Machines hang and go on. */
-    MACHINES_HANG(scene -> hang(scene.some(), scene.world().nowS + Math.min(scene.forS(), 25))),
-    /** No report of these machines leaves; direct commands reach them. */
-    MACHINE_REPORTS_BLOCKED(
-            scene -> scene.forSome(worker -> worker.reportsBlocked = true, worker -> worker.reportsBlocked = false)),
-    /** These machines hear nothing; commands to them arrive late. */
-    MACHINE_INBOUND_BLOCKED(scene -> {
-        scene.forSome(worker -> worker.inboundBlocked = true, worker -> worker.inboundBlocked = false);
-        scene.atEnd(() -> carryOut(scene.world().heldCommands));
+    /** Some machines are cut off from all controllers. */
+    MACHINES_DISCONNECTED(context ->
+            context.affectSomeMachines(worker -> worker.disconnected = true, worker -> worker.disconnected = false)),
+    /** Some machines hang for at most 25 s and go on. */
+    MACHINES_HANG(context -> hang(context.someMachines(), context.cluster().nowS + Math.min(context.durationS(), 25))),
+    /** Reports of some machines are lost, while direct commands reach them. */
+    MACHINE_REPORTS_BLOCKED(context -> context.affectSomeMachines(
+            worker -> worker.reportsBlocked = true, worker -> worker.reportsBlocked = false)),
+    /** Responses to reports of some machines are lost, and direct commands reach them when the fault ends. */
+    MACHINE_INBOUND_BLOCKED(context -> {
+        context.affectSomeMachines(worker -> worker.inboundBlocked = true, worker -> worker.inboundBlocked = false);
+        context.atEnd(() -> runHeld(context.cluster().heldCommands));
     }),
-    /** Machines stop for good. */
-    MACHINES_CRASH(scene -> scene.some().subList(0, scene.some().size() / 3).forEach(SimulatedCluster.Worker::crash)),
-    /** Direct commands are held up. */
-    COMMANDS_DELAYED(scene -> {
-        scene.world().commandDelayS = 0.5 + scene.random().nextDouble() * 8;
-        scene.atEnd(() -> scene.world().commandDelayS = 0);
+    /** A third of some machines crash and do not return. */
+    MACHINES_CRASH(context -> context.someMachines()
+            .subList(0, context.someMachines().size() / 3)
+            .forEach(SimulatedCluster.Worker::crash)),
+    /** Direct commands are delayed. */
+    COMMANDS_DELAYED(context -> {
+        context.cluster().commandDelayS = 0.5 + context.random().nextDouble() * 8;
+        context.atEnd(() -> context.cluster().commandDelayS = 0);
     }),
-    /** Old reports arrive again. */
-    REPORTS_REPLAYED(scene -> {
-        Runnable come = oldReports(scene);
-        scene.world().schedule(2 + scene.random().nextDouble() * scene.forS(), come);
+    /** Old reports arrive again at every controller that runs. */
+    REPORTS_REPLAYED(context -> {
+        Runnable replay = collectReportReplay(context);
+        context.cluster().schedule(2 + context.random().nextDouble() * context.durationS(), replay);
     }),
-    /** Old reports arrive at the next leader. */
-    REPORTS_REPLAYED_TO_NEXT_LEADER(scene -> {
-        SimulatedCluster world = scene.world();
-        Runnable come = oldReports(scene);
-        world.onTermStart.add(node -> world.schedule(scene.random().nextInt(3) * 0.4, come));
+    /** Old reports arrive again soon after the start of every later term. */
+    REPORTS_REPLAYED_TO_NEXT_LEADER(context -> {
+        SimulatedCluster cluster = context.cluster();
+        Runnable replay = collectReportReplay(context);
+        cluster.onTermStart.add(process -> cluster.schedule(context.random().nextInt(3) * 0.4, replay));
     }),
-    /** A zone with a controller is cut off. */
-    ZONE_ISOLATED(scene -> {
-        SimulatedCluster world = scene.world();
-        scene.any().inIsolatedZone = true;
-        for (SimulatedCluster.Worker worker : world.workers.values()) {
-            boolean struck = world.cloud.zones.size() > 1 || worker.name.hashCode() % 2 == 0;
-            worker.inIsolatedZone = worker.zone.equals("a") && struck;
+    /** A controller and machines of zone a are cut off together: all of them, or half if zone a is the only zone. */
+    ZONE_ISOLATED(context -> {
+        SimulatedCluster cluster = context.cluster();
+        context.anyController().inIsolatedZone = true;
+        for (SimulatedCluster.Worker worker : cluster.workers.values()) {
+            boolean affected = cluster.cloud.zones.size() > 1 || worker.name.hashCode() % 2 == 0;
+            worker.inIsolatedZone = worker.zone.equals("a") && affected;
         }
-        scene.atEnd(() -> {
-            scene.any().inIsolatedZone = false;
-            world.workers.values().forEach(worker -> worker.inIsolatedZone = false);
+        context.atEnd(() -> {
+            context.anyController().inIsolatedZone = false;
+            cluster.workers.values().forEach(worker -> worker.inIsolatedZone = false);
         });
     }),
     /** Connections between controllers are refused. */
-    PEERS_REFUSE_CONNECTIONS(scene -> {
-        scene.world().peersRefuseConnections = true;
-        scene.atEnd(() -> scene.world().peersRefuseConnections = false);
+    PEERS_REFUSE_CONNECTIONS(context -> {
+        context.cluster().peersRefuseConnections = true;
+        context.atEnd(() -> context.cluster().peersRefuseConnections = false);
     }),
-    /** The leader stands still for some seconds. */
-    LEADER_PAUSED_BRIEFLY(scene -> scene.leader().pause(Math.min(scene.forS(), 28))),
-    /** Users cancel many jobs at once, and machines hang. */
-    MASS_CANCELLATION(scene -> {
-        SimulatedCluster world = scene.world();
-        SplittableRandom random = scene.random();
-        for (String id : world.acceptedJobs()) {
-            if (world.outcome(id) == null && random.nextBoolean()) {
-                scheduleCancellation(world, id, random.nextDouble() * 0.2, random.nextInt(5));
+    /** The leader's process is paused for at most 28 s. */
+    LEADER_PAUSED_BRIEFLY(context -> context.leader().pause(Math.min(context.durationS(), 28))),
+    /** Users cancel about half of the live jobs at once, while some machines hang for less than a worker lease. */
+    MASS_CANCELLATION(context -> {
+        SimulatedCluster cluster = context.cluster();
+        SplittableRandom random = context.random();
+        for (String id : cluster.acceptedJobs()) {
+            if (cluster.outcome(id) == null && random.nextBoolean()) {
+                scheduleCancellation(cluster, id, random.nextDouble() * 0.2, random.nextInt(5));
             }
         }
-        List<SimulatedCluster.Worker> hung = new ArrayList<>(scene.some());
+        List<SimulatedCluster.Worker> hung = new ArrayList<>(context.someMachines());
         hung.removeIf(worker -> !random.nextBoolean());
-        hang(hung, world.nowS + Math.min(scene.forS(), world.workerLeaseS - 0.5));
+        hang(hung, cluster.nowS + Math.min(context.durationS(), cluster.workerLeaseS - 0.5));
     }),
-    /** Users ask and repeat at all controllers. */
-    FREQUENT_POLLS(scene -> {
-        SimulatedCluster world = scene.world();
-        SplittableRandom random = scene.random();
-        for (double t = 0; t < Math.min(scene.forS(), 8); t += 0.09) {
-            SimulatedCluster.ControllerProcess node = world.controllers.get(random.nextInt(world.controllers.size()));
+    /** Users poll and resubmit at all controllers for at most 8 s. */
+    FREQUENT_POLLS(context -> {
+        SimulatedCluster cluster = context.cluster();
+        SplittableRandom random = context.random();
+        for (double delayS = 0; delayS < Math.min(context.durationS(), 8); delayS += 0.09) {
+            SimulatedCluster.ControllerProcess process =
+                    cluster.controllers.get(random.nextInt(cluster.controllers.size()));
             String id = FaultTestSteps.jobId(random.nextInt(26) + 1);
-            boolean repeat = random.nextInt(4) == 0;
-            world.schedule(t, () -> askOrRepeat(world, node, id, repeat));
+            boolean resubmits = random.nextInt(4) == 0;
+            cluster.schedule(delayS, () -> pollOrResubmit(cluster, process, id, resubmits));
         }
     }),
-    /** The lead changes three times. */
-    REPEATED_LEADER_CHANGES(scene -> {
-        SimulatedCluster world = scene.world();
+    /** The leader is restarted three times, about 5.5 s apart. */
+    REPEATED_LEADER_CHANGES(context -> {
+        SimulatedCluster cluster = context.cluster();
         for (int i = 0; i < 3; i++) {
-            world.schedule(i * 5.5 + scene.random().nextDouble(), () -> {
-                if (world.leader() != null) {
-                    world.leader().restartAfter(0.3);
+            cluster.schedule(i * 5.5 + context.random().nextDouble(), () -> {
+                if (cluster.leader() != null) {
+                    cluster.leader().restartAfter(0.3);
                 }
             });
         }
     }),
-    /** The cloud's interface is down. */
-    CLOUD_DOWN(scene -> {
-        scene.world().cloud.down = true;
-        scene.atEnd(() -> scene.world().cloud.down = false);
+    /** The cloud refuses every request. */
+    CLOUD_DOWN(context -> {
+        context.cluster().cloud.down = true;
+        context.atEnd(() -> context.cluster().cloud.down = false);
     }),
-    /** The state service answers slowly. */
-    STATE_SERVICE_SLOW(scene -> {
-        scene.world().stateService.extraLatencyS = 0.1 + scene.random().nextDouble() * 0.5;
-        scene.atEnd(() -> scene.world().stateService.extraLatencyS = 0);
+    /** The state service responds slowly. */
+    STATE_SERVICE_SLOW(context -> {
+        context.cluster().stateService.extraLatencyS = 0.1 + context.random().nextDouble() * 0.5;
+        context.atEnd(() -> context.cluster().stateService.extraLatencyS = 0);
     }),
-    /** The leader loses its workers. */
-    LEADER_CUT_FROM_WORKERS(scene -> {
-        scene.leader().cutFromWorkers = true;
-        scene.atEnd(() -> scene.leader().cutFromWorkers = false);
+    /** The leader is cut off from all workers. */
+    LEADER_CUT_FROM_WORKERS(context -> {
+        context.leader().cutFromWorkers = true;
+        context.atEnd(() -> context.leader().cutFromWorkers = false);
     }),
-    /** The leader stands still for more than a minute. */
-    LEADER_PAUSED_OVER_A_MINUTE(scene -> scene.leader().pause(overAMinute(scene.forS())), InjectedFault::overAMinute),
-    /** Some controller stands still for more than a minute, users' requests waiting in its sockets. */
+    /** The leader's process is paused for more than a minute. */
+    LEADER_PAUSED_OVER_A_MINUTE(
+            context -> context.leader().pause(longPauseS(context.durationS())), InjectedFault::longPauseS),
+    /** One controller's process is paused for more than a minute, while users' requests wait in its sockets. */
     CONTROLLER_PAUSED_OVER_A_MINUTE(
-            scene -> {
-                SimulatedCluster.ControllerProcess any = scene.any();
-                any.pause(overAMinute(scene.forS()));
-                for (String id : scene.world().acceptedJobs()) {
-                    any.askAsyncThroughSocket("poll", id, reply -> any.users.poll(id, reply), null);
-                    if (scene.random().nextInt(4) == 0) {
-                        any.askAsyncThroughSocket("abort", id, reply -> any.users.cancel(id, reply), null);
+            context -> {
+                SimulatedCluster.ControllerProcess process = context.anyController();
+                process.pause(longPauseS(context.durationS()));
+                for (String id : context.cluster().acceptedJobs()) {
+                    process.askAsyncThroughSocket("poll", id, reply -> process.users.poll(id, reply), null);
+                    if (context.random().nextInt(4) == 0) {
+                        process.askAsyncThroughSocket("abort", id, reply -> process.users.cancel(id, reply), null);
                     }
                 }
             },
-            InjectedFault::overAMinute),
-    /** The leader reaches the state service and nobody else. */
-    LEADER_REACHES_ONLY_STATE_SERVICE(scene -> {
-        SimulatedCluster.ControllerProcess leader = scene.leader();
+            InjectedFault::longPauseS),
+    /** The leader is cut off from workers and peers, but reaches the state service. */
+    LEADER_REACHES_ONLY_STATE_SERVICE(context -> {
+        SimulatedCluster.ControllerProcess leader = context.leader();
         leader.cutFromWorkers = true;
         leader.cutFromPeers = true;
-        scene.atEnd(() -> {
+        context.atEnd(() -> {
             leader.cutFromWorkers = false;
             leader.cutFromPeers = false;
         });
     }),
-    /** The leader reaches its peers and nobody else. */
-    LEADER_REACHES_ONLY_PEERS(scene -> {
-        scene.leader().cutFromWorkers = true;
-        link(scene, scene.leader(), FakeStateService.Link.PARTITIONED, scene.forS());
-        scene.atEnd(() -> scene.leader().cutFromWorkers = false);
+    /** The leader is cut off from workers and the state service, but reaches its peers. */
+    LEADER_REACHES_ONLY_PEERS(context -> {
+        context.leader().cutFromWorkers = true;
+        degradeStateLink(context, context.leader(), FakeStateService.Link.PARTITIONED, context.durationS());
+        context.atEnd(() -> context.leader().cutFromWorkers = false);
     }),
-    /** Ordered machines come up late. */
-    MACHINES_BOOT_SLOWLY(scene -> {
-        scene.world().bootSlowdownFactor = 2 + scene.random().nextDouble() * 10;
-        scene.atEnd(() -> scene.world().bootSlowdownFactor = 1);
+    /** Machines that are rented during the fault boot slowly. */
+    MACHINES_BOOT_SLOWLY(context -> {
+        context.cluster().bootSlowdownFactor = 2 + context.random().nextDouble() * 10;
+        context.atEnd(() -> context.cluster().bootSlowdownFactor = 1);
     }),
-    /** Every other machine that is ordered never comes up. */
-    MACHINES_NEVER_BOOT(scene -> {
-        scene.world().everyNthNeverBoots = 2;
-        scene.atEnd(() -> scene.world().everyNthNeverBoots = 0);
+    /** Every second machine that is rented during the fault never boots. */
+    MACHINES_NEVER_BOOT(context -> {
+        context.cluster().everyNthNeverBoots = 2;
+        context.atEnd(() -> context.cluster().everyNthNeverBoots = 0);
     }),
-    /** Users ask hundreds of times a second at every controller, within the state service's limits. */
-    POLL_OVERLOAD(scene -> {
-        SimulatedCluster world = scene.world();
-        double forS = Math.min(scene.forS(), 12);
-        world.stateService.rps = 200;
-        for (double at = 0; at < forS; at += 0.05) {
-            int first = scene.random().nextInt(26);
-            world.schedule(at, () -> askEverybody(world, first));
+    /** Users poll each controller 200 times a second, while the state service limits requests to 200 a second. */
+    POLL_OVERLOAD(context -> {
+        SimulatedCluster cluster = context.cluster();
+        double durationS = Math.min(context.durationS(), 12);
+        cluster.stateService.rps = 200;
+        for (double delayS = 0; delayS < durationS; delayS += 0.05) {
+            int firstJob = context.random().nextInt(26);
+            cluster.schedule(delayS, () -> pollAllControllers(cluster, firstJob));
         }
-        world.schedule(forS + 1, () -> world.stateService.rps = Double.POSITIVE_INFINITY);
+        cluster.schedule(durationS + 1, () -> cluster.stateService.rps = Double.POSITIVE_INFINITY);
     }),
-    /** Jobs that fail on every machine, until their users cancel them. */
-    FAILING_JOBS(scene -> {
-        SimulatedCluster world = scene.world();
+    /** Users submit jobs whose tasks fail on every machine, and cancel them after the fault. */
+    FAILING_JOBS(context -> {
+        SimulatedCluster cluster = context.cluster();
         for (int i = 0; i < 3; i++) {
-            String id = FaultTestSteps.jobId(100 + world.failingJobs.size());
-            world.failingJobs.add(id);
+            String id = FaultTestSteps.jobId(100 + cluster.failingJobs.size());
+            cluster.failingJobs.add(id);
             boolean gang = i == 2;
-            Map<String, Object> urgent = Map.of("urgency", scene.random().nextBoolean() ? "prod" : "standard");
-            SimulatedCluster.ControllerProcess node =
-                    world.controllers.get(scene.random().nextInt(world.controllers.size()));
-            for (double again = 0; again < 9; again += 3) {
-                world.schedule(again, () -> {
-                    if (!world.acceptedJobs().contains(id)) {
-                        node.submitAsync(id, gang ? 4 : 20, gang, urgent);
+            Map<String, Object> priority = Map.of("urgency", context.random().nextBoolean() ? "prod" : "standard");
+            SimulatedCluster.ControllerProcess process =
+                    cluster.controllers.get(context.random().nextInt(cluster.controllers.size()));
+            for (double delayS = 0; delayS < 9; delayS += 3) {
+                cluster.schedule(delayS, () -> {
+                    if (!cluster.acceptedJobs().contains(id)) {
+                        process.submitAsync(id, gang ? 4 : 20, gang, priority);
                     }
                 });
             }
-            scheduleCancellation(world, id, scene.forS() + 5, i);
+            scheduleCancellation(cluster, id, context.durationS() + 5, i);
         }
     }),
-    /** A team without a guarantee submits idle work, one large array and a swarm. */
-    BEST_EFFORT_TEAM(scene -> {
-        SimulatedCluster world = scene.world();
-        Map<String, Object> idle = Map.of("crew", "guest", "urgency", "idle");
-        SimulatedCluster.ControllerProcess node = scene.any();
-        int from = 200
-                + (int) world.acceptedJobs().stream()
+    /** A team without a guarantee submits idle-priority work: one array of 150 tasks, and 25 arrays of one task. */
+    BEST_EFFORT_TEAM(context -> {
+        SimulatedCluster cluster = context.cluster();
+        Map<String, Object> idleArray = Map.of("crew", "guest", "urgency", "idle");
+        SimulatedCluster.ControllerProcess process = context.anyController();
+        int firstNumber = 200
+                + (int) cluster.acceptedJobs().stream()
                         .filter(id -> id.compareTo("wk-000200") >= 0)
                         .count();
-        node.submitAsync(FaultTestSteps.jobId(from), 150, false, idle);
+        process.submitAsync(FaultTestSteps.jobId(firstNumber), 150, false, idleArray);
         for (int i = 1; i <= 25; i++) {
-            String id = FaultTestSteps.jobId(from + i);
-            world.schedule(i * 0.25, () -> node.submitAsync(id, 1, false, idle));
+            String id = FaultTestSteps.jobId(firstNumber + i);
+            cluster.schedule(i * 0.25, () -> process.submitAsync(id, 1, false, idleArray));
         }
     });
 
-    private final Consumer<FaultContext> strike;
-    private final DoubleUnaryOperator lasts;
+    private final Consumer<FaultContext> injection;
+    private final DoubleUnaryOperator durationOf;
 
-    InjectedFault(Consumer<FaultContext> strike) {
-        this(strike, DoubleUnaryOperator.identity());
+    InjectedFault(Consumer<FaultContext> injection) {
+        this(injection, DoubleUnaryOperator.identity());
     }
 
-    InjectedFault(Consumer<FaultContext> strike, DoubleUnaryOperator lasts) {
-        this.strike = strike;
-        this.lasts = lasts;
+    InjectedFault(Consumer<FaultContext> injection, DoubleUnaryOperator durationOf) {
+        this.injection = injection;
+        this.durationOf = durationOf;
     }
 
-    /** How many of them, the first ones, the earlier seeds draw from. */
+    /** Number of faults, from the first one on, that the test without newer faults draws from. */
     static final int ORIGINAL_COUNT = LEADER_CUT_FROM_WORKERS.ordinal() + 1;
 
-    /** Where a fault begins: whom it strikes, for how long, and by which luck. */
+    /**
+     * What a fault affects.
+     *
+     * @param leader the leader; {@code anyController} if there is none
+     * @param someMachines about two thirds of the machines
+     * @param durationS seconds until the fault ends
+     * @param restartDelayS seconds from the kill to the restart of a controller
+     * @param random the source of all further draws of this fault
+     */
     record FaultContext(
-            SimulatedCluster world,
+            SimulatedCluster cluster,
             SimulatedCluster.ControllerProcess leader,
-            SimulatedCluster.ControllerProcess any,
-            List<SimulatedCluster.Worker> some,
-            double forS,
-            double backS,
+            SimulatedCluster.ControllerProcess anyController,
+            List<SimulatedCluster.Worker> someMachines,
+            double durationS,
+            double restartDelayS,
             SplittableRandom random) {
-        static FaultContext of(SimulatedCluster world, double forS, SplittableRandom random) {
-            SimulatedCluster.ControllerProcess any = world.controllers.get(random.nextInt(world.controllers.size()));
-            SimulatedCluster.ControllerProcess leader = world.leader() == null ? any : world.leader();
-            List<SimulatedCluster.Worker> some = new ArrayList<>(world.workers.values());
-            some.removeIf(worker -> random.nextInt(3) == 0);
-            double backS = random.nextBoolean() ? 0.1 + random.nextDouble() * 0.4 : 1 + random.nextDouble() * 8;
-            return new FaultContext(world, leader, any, some, forS, backS, random);
+        static FaultContext of(SimulatedCluster cluster, double durationS, SplittableRandom random) {
+            SimulatedCluster.ControllerProcess anyController =
+                    cluster.controllers.get(random.nextInt(cluster.controllers.size()));
+            SimulatedCluster.ControllerProcess leader = cluster.leader() == null ? anyController : cluster.leader();
+            List<SimulatedCluster.Worker> someMachines = new ArrayList<>(cluster.workers.values());
+            someMachines.removeIf(worker -> random.nextInt(3) == 0);
+            double restartDelayS = random.nextBoolean() ? 0.1 + random.nextDouble() * 0.4 : 1 + random.nextDouble() * 8;
+            return new FaultContext(cluster, leader, anyController, someMachines, durationS, restartDelayS, random);
         }
 
-        /** Runs something when the fault is over. */
+        /** Schedules an action for the end of the fault. */
         void atEnd(Runnable end) {
-            world.schedule(forS, end);
+            cluster.schedule(durationS, end);
         }
 
-        /** Strikes some of the machines for as long as the fault lasts. */
-        void forSome(Consumer<SimulatedCluster.Worker> begin, Consumer<SimulatedCluster.Worker> end) {
-            for (SimulatedCluster.Worker worker : some) {
+        /** Applies {@code begin} to some machines now and {@code end} at the end of the fault. */
+        void affectSomeMachines(Consumer<SimulatedCluster.Worker> begin, Consumer<SimulatedCluster.Worker> end) {
+            for (SimulatedCluster.Worker worker : someMachines) {
                 begin.accept(worker);
                 atEnd(() -> end.accept(worker));
             }
         }
     }
 
-    void inject(FaultContext scene) {
-        strike.accept(scene);
+    /** Begins the fault now and schedules its end. */
+    void inject(FaultContext context) {
+        injection.accept(context);
     }
 
-    /** Seconds after which it is over. */
-    double durationS(double forS) {
-        return lasts.applyAsDouble(forS);
+    /** Returns the seconds for which the fault lasts when {@code nominalS} seconds were drawn for it. */
+    double durationS(double nominalS) {
+        return durationOf.applyAsDouble(nominalS);
     }
 
-    private static double overAMinute(double forS) {
-        return 60 + forS;
+    private static double longPauseS(double nominalS) {
+        return 60 + nominalS;
     }
 
-    private static void hang(List<SimulatedCluster.Worker> workers, double until) {
-        workers.forEach(worker -> worker.hungUntilS = until);
+    private static void hang(List<SimulatedCluster.Worker> workers, double untilS) {
+        workers.forEach(worker -> worker.hungUntilS = untilS);
     }
 
-    /** What was held up on its way arrives. */
-    private static void carryOut(List<Runnable> held) {
-        List<Runnable> now = new ArrayList<>(held);
+    /** Runs the held actions, in order, and empties the list. */
+    private static void runHeld(List<Runnable> held) {
+        List<Runnable> actions = new ArrayList<>(held);
         held.clear();
-        now.forEach(Runnable::run);
+        actions.forEach(Runnable::run);
     }
 
-    private static void askOrRepeat(
-            SimulatedCluster world, SimulatedCluster.ControllerProcess node, String id, boolean repeat) {
-        if (world.originalSubmission(id) == null) {
+    private static void pollOrResubmit(
+            SimulatedCluster cluster, SimulatedCluster.ControllerProcess process, String id, boolean resubmits) {
+        if (cluster.originalSubmission(id) == null) {
             return;
         }
-        if (repeat) {
-            node.resubmit(id);
+        if (resubmits) {
+            process.resubmit(id);
         } else {
-            node.askAsync("poll", id, reply -> node.users.poll(id, reply), null);
+            process.askAsync("poll", id, reply -> process.users.poll(id, reply), null);
         }
     }
 
-    private static void askEverybody(SimulatedCluster world, int first) {
-        for (SimulatedCluster.ControllerProcess node : world.controllers) {
+    private static void pollAllControllers(SimulatedCluster cluster, int firstJob) {
+        for (SimulatedCluster.ControllerProcess process : cluster.controllers) {
             for (int i = 0; i < 10; i++) {
-                String id = FaultTestSteps.jobId(1 + (first + i) % 26);
-                node.askAsync("poll", id, reply -> node.users.poll(id, reply), null);
+                String id = FaultTestSteps.jobId(1 + (firstJob + i) % 26);
+                process.askAsync("poll", id, reply -> process.users.poll(id, reply), null);
             }
         }
     }
 
-    private static void linkAll(FaultContext scene, FakeStateService.Link link) {
-        double forS = Math.min(scene.forS(), 9);
-        scene.world().controllers.forEach(node -> link(scene, node, link, forS));
+    private static void degradeAllStateLinks(FaultContext context, FakeStateService.Link link) {
+        double durationS = Math.min(context.durationS(), 9);
+        context.cluster().controllers.forEach(process -> degradeStateLink(context, process, link, durationS));
     }
 
-    /** A user cancels the job, asking again and again at different controllers. */
-    static void scheduleCancellation(SimulatedCluster world, String id, double at, int first) {
+    /** Schedules eight cancellation requests for a job, 2 s apart, at alternating controllers; they stop at its end. */
+    static void scheduleCancellation(SimulatedCluster cluster, String id, double delayS, int firstController) {
         for (int i = 0; i < 8; i++) {
-            SimulatedCluster.ControllerProcess node = world.controllers.get((first + i) % world.controllers.size());
-            world.schedule(at + 2 * i, () -> {
-                if (world.acceptedJobs().contains(id) && world.outcome(id) == null) {
-                    node.askAsync("abort", id, x -> node.users.cancel(id, x), null);
+            SimulatedCluster.ControllerProcess process =
+                    cluster.controllers.get((firstController + i) % cluster.controllers.size());
+            cluster.schedule(delayS + 2 * i, () -> {
+                if (cluster.acceptedJobs().contains(id) && cluster.outcome(id) == null) {
+                    process.askAsync("abort", id, reply -> process.users.cancel(id, reply), null);
                 }
             });
         }
     }
 
-    private static void link(
-            FaultContext scene, SimulatedCluster.ControllerProcess node, FakeStateService.Link link, double forS) {
-        node.stateLink = link;
-        scene.world().schedule(forS, () -> {
-            if (node.stateLink == link) {
-                node.stateLink = FakeStateService.Link.HEALTHY;
+    private static void degradeStateLink(
+            FaultContext context,
+            SimulatedCluster.ControllerProcess process,
+            FakeStateService.Link link,
+            double durationS) {
+        process.stateLink = link;
+        context.cluster().schedule(durationS, () -> {
+            if (process.stateLink == link) {
+                process.stateLink = FakeStateService.Link.HEALTHY;
             }
         });
     }
 
-    private static Runnable oldReports(FaultContext scene) {
-        SimulatedCluster world = scene.world();
-        SplittableRandom random = scene.random();
-        List<Report> old = new ArrayList<>();
-        for (SimulatedCluster.Worker worker : world.workers.values()) {
-            for (Report node : worker.sentReports.subList(
+    /** Picks about two thirds of each worker's last 12 reports, and returns the action that sends them to all controllers. */
+    private static Runnable collectReportReplay(FaultContext context) {
+        SimulatedCluster cluster = context.cluster();
+        SplittableRandom random = context.random();
+        List<Report> oldReports = new ArrayList<>();
+        for (SimulatedCluster.Worker worker : cluster.workers.values()) {
+            for (Report report : worker.sentReports.subList(
                     Math.max(0, worker.sentReports.size() - 12), worker.sentReports.size())) {
                 if (random.nextInt(3) > 0) {
-                    old.add(node);
+                    oldReports.add(report);
                 }
             }
         }
         return () -> {
-            for (SimulatedCluster.ControllerProcess node : world.controllers) {
-                if (node.up && node.pausedUntilS <= world.nowS) {
-                    old.forEach(node.controller::handleReport);
+            for (SimulatedCluster.ControllerProcess process : cluster.controllers) {
+                if (process.up && process.pausedUntilS <= cluster.nowS) {
+                    oldReports.forEach(process.controller::handleReport);
                 }
             }
         };
--- a/src/test/java/org/mountlug/node/LoadGenerator.java
+++ b/src/test/java/org/mountlug/node/LoadGenerator.java
@@ -17,45 +17,48 @@
 import org.mountlug.settings.OperatorSettings;
 
 /**
- * Users who submit one-task jobs at given rates to controllers in memory, come back as they are told and give up after a minute.
- * It keeps what each was told, and notes every answer that contradicts an earlier one.
+ * Simulates users who submit one-task jobs at given rates, retry after the delay that a response names and give up after a
+ * minute. Counts the responses of each queue and records those that contradict an earlier one in {@link #violations}.
  */
 final class LoadGenerator {
-    static final double PATIENCE_S = 60;
-    private static final double LONGEST_WAIT_S = 30;
-    private static final double TIMEOUT_S = 5;
-    /** Seconds after which the load balancer knows that a controller does not answer. */
-    private static final double NOTICED_S = 2;
+    /** Seconds after its first request at which a submission is given up. */
+    static final double GIVE_UP_AFTER_S = 60;
+    /** Longest delay before a retry, whatever the response names, in seconds. */
+    private static final double MAX_RETRY_DELAY_S = 30;
+    /** Seconds after which a request without a response is sent again. */
+    private static final double REQUEST_TIMEOUT_S = 5;
+    /** Seconds of a process pause after which the load balancer sends no more requests to the controller. */
+    private static final double HEALTH_CHECK_DELAY_S = 2;
 
-    /** Submissions of a queue, so many a second, from one time to another in seconds of the scenario. */
+    /** Submissions of a queue at a mean rate, between two times in seconds since the call of {@link #schedule}. */
     record LoadPhase(QueueId queue, double ratePerS, double fromS, double untilS) {
-        static LoadPhase of(String team, String jobClass, double perS, double fromS, double untilS) {
-            return new LoadPhase(new QueueId(team, jobClass), perS, fromS, untilS);
+        static LoadPhase of(String team, String jobClass, double ratePerS, double fromS, double untilS) {
+            return new LoadPhase(new QueueId(team, jobClass), ratePerS, fromS, untilS);
         }
     }
 
-    /** What became of a queue's submissions; waits are seconds from the first request to the acceptance. */
+    /** Counts of a queue's submissions; times to acceptance run from the first request, in seconds. */
     static final class QueueStatistics {
         int submitted;
         int accepted;
-        int acceptedAtOnce;
+        int acceptedAtFirstRequest;
         int abandoned;
         int requests;
         double slowestAcceptanceS;
         double slowestProbeS;
     }
 
-    /** One submission as its user sees it; a probe never gives up. */
+    /** A submission with its retries; a probe is never given up. */
     private final class Submission {
         final String id;
         final QueueId queue;
         final boolean probe;
-        final double firstS = cluster.nowS;
-        /** When it is back for a turn that was told as final; NaN if none was. */
-        double finalTurnS = Double.NaN;
+        final double firstSentS = cluster.nowS;
+        /** When to retry for a turn that a response called final; {@code NaN} if none has. */
+        double finalTurnAtS = Double.NaN;
 
-        boolean over;
-        int tries;
+        boolean finished;
+        int requestNumber;
 
         Submission(QueueId queue, boolean probe) {
             this.id = String.format("wk-%06d", ++submissions);
@@ -64,101 +67,103 @@
         }
 
         void send() {
-            if (over) {
+            if (finished) {
                 return;
             }
-            if (!probe && cluster.nowS - firstS >= PATIENCE_S) {
-                over = true;
+            if (!probe && cluster.nowS - firstSentS >= GIVE_UP_AFTER_S) {
+                finished = true;
                 statistics(queue).abandoned++;
                 return;
             }
-            SimulatedCluster.ControllerProcess node = anyNode();
-            if (node == null) {
+            SimulatedCluster.ControllerProcess process = pickController();
+            if (process == null) {
                 cluster.schedule(1 + random.nextDouble(), this::send);
                 return;
             }
-            int mine = ++tries;
+            int ownNumber = ++requestNumber;
             statistics(queue).requests++;
-            cluster.schedule(TIMEOUT_S, () -> {
-                if (mine == tries && !over) {
-                    finalTurnS = Double.NaN;
-                    send(); // no answer at all
+            cluster.schedule(REQUEST_TIMEOUT_S, () -> {
+                if (ownNumber == requestNumber && !finished) {
+                    finalTurnAtS = Double.NaN;
+                    send(); // no response
                 }
             });
-            byte[] body = node.buildSubmission(id, 1, false, Map.of("crew", queue.team(), "lane", queue.jobClass()));
-            node.askAsync("submission", id, reply -> node.users.submit(body, reply), answer -> {
-                if (answer.get("answer") instanceof UserResponse.Accepted && !created.add(id)) {
+            byte[] body = process.buildSubmission(id, 1, false, Map.of("crew", queue.team(), "lane", queue.jobClass()));
+            process.askAsync("submission", id, reply -> process.users.submit(body, reply), response -> {
+                if (response.get("answer") instanceof UserResponse.Accepted && !createdJobs.add(id)) {
                     violations.add(id + " was created twice");
                 }
-                if (mine == tries && !over) {
-                    answered(node, (UserResponse) answer.get("answer"));
+                if (ownNumber == requestNumber && !finished) {
+                    handleResponse(process, (UserResponse) response.get("answer"));
                 }
             });
         }
 
-        private void answered(SimulatedCluster.ControllerProcess node, UserResponse answer) {
-            if (answer instanceof UserResponse.Accepted || answer instanceof UserResponse.JobState) {
-                accepted();
-            } else if (answer instanceof UserResponse.Deferred deferred) {
-                if (cluster.nowS >= finalTurnS) {
-                    violations.add(id + " came back at its turn and was deferred again by " + node.label);
+        private void handleResponse(SimulatedCluster.ControllerProcess process, UserResponse response) {
+            if (response instanceof UserResponse.Accepted || response instanceof UserResponse.JobState) {
+                recordAcceptance();
+            } else if (response instanceof UserResponse.Deferred deferred) {
+                if (cluster.nowS >= finalTurnAtS) {
+                    violations.add(id + " was deferred again at its final turn by " + process.label);
                 }
                 if (deferred.turnIsFinal()) {
-                    finalTurnS = cluster.nowS + deferred.retryAfterS();
+                    finalTurnAtS = cluster.nowS + deferred.retryAfterS();
                 }
-                toldSeconds.merge(deferred.retryAfterS(), 1, Integer::sum);
-                back(deferred.retryAfterS());
-            } else if (answer instanceof UserResponse.Unavailable unavailable) {
-                undecided(unavailable.retryAfterS());
-            } else if (answer instanceof UserResponse.RateLimited overBudget) {
-                undecided(overBudget.retryAfterS());
+                deferralsByDelayS.merge(deferred.retryAfterS(), 1, Integer::sum);
+                scheduleRetry(deferred.retryAfterS());
+            } else if (response instanceof UserResponse.Unavailable unavailable) {
+                handleUndecided(unavailable.retryAfterS());
+            } else if (response instanceof UserResponse.RateLimited rateLimited) {
+                handleUndecided(rateLimited.retryAfterS());
             } else {
-                violations.add(id + " got " + answer);
+                violations.add(id + " got the unexpected response " + response);
             }
         }
 
-        private void undecided(int retryAfterS) {
-            undecided++;
-            missedFinalTurns += cluster.nowS >= finalTurnS ? 1 : 0;
-            finalTurnS = Double.NaN;
-            back(retryAfterS);
+        /** Retries after a response that neither accepts nor defers the submission. */
+        private void handleUndecided(int retryAfterS) {
+            undecidedResponses++;
+            missedFinalTurns += cluster.nowS >= finalTurnAtS ? 1 : 0;
+            finalTurnAtS = Double.NaN;
+            scheduleRetry(retryAfterS);
         }
 
-        private void accepted() {
-            over = true;
-            QueueStatistics outcome = statistics(queue);
-            double waitedS = cluster.nowS - firstS;
-            outcome.accepted++;
-            outcome.acceptedAtOnce += tries == 1 ? 1 : 0;
-            outcome.slowestAcceptanceS = Math.max(outcome.slowestAcceptanceS, probe ? 0 : waitedS);
-            outcome.slowestProbeS = Math.max(outcome.slowestProbeS, probe ? waitedS : 0);
+        private void recordAcceptance() {
+            finished = true;
+            QueueStatistics statistics = statistics(queue);
+            double waitedS = cluster.nowS - firstSentS;
+            statistics.accepted++;
+            statistics.acceptedAtFirstRequest += requestNumber == 1 ? 1 : 0;
+            statistics.slowestAcceptanceS = Math.max(statistics.slowestAcceptanceS, probe ? 0 : waitedS);
+            statistics.slowestProbeS = Math.max(statistics.slowestProbeS, probe ? waitedS : 0);
             openProbes.remove(this);
         }
 
-        private void back(int retryAfterS) {
-            tries++; // whatever the question before this may still be answered counts no more
-            double waitS = honorsRetryAfter ? Math.min(LONGEST_WAIT_S, Math.max(1, retryAfterS)) : 1;
-            cluster.schedule(waitS + random.nextDouble() * 0.02, this::send);
+        private void scheduleRetry(int retryAfterS) {
+            requestNumber++; // later responses to the previous request are ignored
+            double delayS = honorsRetryAfter ? Math.min(MAX_RETRY_DELAY_S, Math.max(1, retryAfterS)) : 1;
+            cluster.schedule(delayS + random.nextDouble() * 0.02, this::send);
         }
     }
 
     final SimulatedCluster cluster;
-    /** Answers that contradict earlier ones. */
+    /** Responses that contradict earlier ones. */
     final List<String> violations = new ArrayList<>();
-    /** Whether users wait for as long as they are told; otherwise they come back every second. */
+    /** Whether users wait for the delay that a response names before they retry; otherwise they retry after a second. */
     boolean honorsRetryAfter = true;
 
-    int undecided;
-    /** How many came back at a final turn and could not be taken in just then. */
+    /** Number of responses that neither accepted nor deferred a submission. */
+    int undecidedResponses;
+    /** Number of requests at a final turn that were neither accepted nor deferred. */
     int missedFinalTurns;
-    /** Seconds from the end of a task to its job's durable end, the longest, looked at twice a second. */
+    /** Longest time from the end of a task to its job's final record, in seconds, sampled twice a second. */
     double longestCompletionLagS;
 
-    private final Map<QueueId, QueueStatistics> outcomes = new TreeMap<>();
-    private final Map<Integer, Integer> toldSeconds = new TreeMap<>();
-    private final Map<String, Double> endedAt = new HashMap<>();
-    private final Set<String> created = new HashSet<>();
-    private final Map<SimulatedCluster.ControllerProcess, Double> silentSince = new HashMap<>();
+    private final Map<QueueId, QueueStatistics> statisticsByQueue = new TreeMap<>();
+    private final Map<Integer, Integer> deferralsByDelayS = new TreeMap<>();
+    private final Map<String, Double> taskEndedAtS = new HashMap<>();
+    private final Set<String> createdJobs = new HashSet<>();
+    private final Map<SimulatedCluster.ControllerProcess, Double> pausedSinceS = new HashMap<>();
     private final List<Submission> openProbes = new ArrayList<>();
     private final SplittableRandom random;
     private int submissions;
@@ -166,21 +171,24 @@
     LoadGenerator(SimulatedCluster cluster, long seed) {
         this.cluster = cluster;
         random = new SplittableRandom(seed);
-        measureLag();
+        measureCompletionLag();
     }
 
-    /** Operators' settings with admission switched on, teams weighing alike. */
+    /** Returns operator settings with admission control enabled and equal team weights. */
     static OperatorSettings operatorsWithAdmission() {
         return OperatorSettings.defaults().withAdmission(AdmissionSettings.defaults());
     }
 
-    /** Controllers with these teams and the smaller site's limits of the state service, a few seconds after their start. */
+    /**
+     * Starts controllers for these teams, with the smaller site's rate limits of the state service, and runs for 8 s so that
+     * one of them leads.
+     */
     static SimulatedCluster startCluster(int controllers, OperatorSettings operators, String... teams) {
-        List<Team> all = new ArrayList<>();
+        List<Team> allTeams = new ArrayList<>();
         for (String team : teams) {
-            all.add(new Team(team, 0, 0, 0, 0, operators.teamWeight(team)));
+            allTeams.add(new Team(team, 0, 0, 0, 0, operators.teamWeight(team)));
         }
-        SimulatedCluster cluster = new SimulatedCluster(controllers, all, 10, false, 8, 8, operators);
+        SimulatedCluster cluster = new SimulatedCluster(controllers, allTeams, 10, false, 8, 8, operators);
         cluster.stateService.rps = 200;
         cluster.stateService.writeRps = 25;
         cluster.taskDurationS = 2;
@@ -189,80 +197,89 @@
         return cluster;
     }
 
+    /** Returns the counts of the queue; all zero before its first submission. */
     QueueStatistics statistics(QueueId queue) {
-        return outcomes.computeIfAbsent(queue, unseen -> new QueueStatistics());
+        return statisticsByQueue.computeIfAbsent(queue, key -> new QueueStatistics());
     }
 
     QueueStatistics statistics(String team, String jobClass) {
         return statistics(new QueueId(team, jobClass));
     }
 
-    Map<QueueId, QueueStatistics> outcomes() {
-        return outcomes;
+    Map<QueueId, QueueStatistics> statisticsByQueue() {
+        return statisticsByQueue;
     }
 
-    /** How many deferrals named how many seconds. */
-    Map<Integer, Integer> toldSeconds() {
-        return toldSeconds;
+    /** Returns the number of deferrals by the retry delay that they named, in seconds. */
+    Map<Integer, Integer> deferralsByDelayS() {
+        return deferralsByDelayS;
     }
 
-    /** The longest that a probe has waited which is not accepted yet. */
+    /** Returns the longest time, in seconds, for which a probe that is not accepted yet has waited; 0 if there is none. */
     double longestOpenProbeS() {
         return openProbes.stream()
-                .mapToDouble(probe -> cluster.nowS - probe.firstS)
+                .mapToDouble(probe -> cluster.nowS - probe.firstSentS)
                 .max()
                 .orElse(0);
     }
 
-    /** As the load balancer lets users reach one: any that answers its probes. */
-    private SimulatedCluster.ControllerProcess anyNode() {
-        List<SimulatedCluster.ControllerProcess> up = new ArrayList<>();
-        for (SimulatedCluster.ControllerProcess node : cluster.controllers) {
-            boolean silent = node.pausedUntilS > cluster.nowS;
-            double silentSinceS = silent ? silentSince.getOrDefault(node, cluster.nowS) : cluster.nowS;
-            silentSince.put(node, silentSinceS);
-            if (node.up && cluster.nowS - silentSinceS < NOTICED_S && (silent || node.controller.isHealthy())) {
-                up.add(node);
+    /**
+     * Returns a random controller of those that pass the load balancer's health checks; null if none does. A paused
+     * controller counts as healthy for the first 2 s.
+     */
+    private SimulatedCluster.ControllerProcess pickController() {
+        List<SimulatedCluster.ControllerProcess> reachable = new ArrayList<>();
+        for (SimulatedCluster.ControllerProcess process : cluster.controllers) {
+            boolean paused = process.pausedUntilS > cluster.nowS;
+            double sinceS = paused ? pausedSinceS.getOrDefault(process, cluster.nowS) : cluster.nowS;
+            pausedSinceS.put(process, sinceS);
+            if (process.up
+                    && cluster.nowS - sinceS < HEALTH_CHECK_DELAY_S
+                    && (paused || process.controller.isHealthy())) {
+                reachable.add(process);
             }
         }
-        return up.isEmpty() ? null : up.get(random.nextInt(up.size()));
+        return reachable.isEmpty() ? null : reachable.get(random.nextInt(reachable.size()));
     }
 
-    /** Arranges these submissions, arriving at random times from now on. */
+    /** Schedules the submissions of these phases, at random times from now on. */
     void schedule(List<LoadPhase> phases) {
-        for (LoadPhase flow : phases) {
-            next(flow, cluster.nowS, flow.fromS());
+        for (LoadPhase phase : phases) {
+            scheduleNextArrival(phase, cluster.nowS, phase.fromS());
         }
     }
 
-    private void next(LoadPhase flow, double beganS, double afterS) {
-        double nextS = afterS - Math.log(1 - random.nextDouble()) / flow.ratePerS();
-        if (nextS < flow.untilS()) {
-            cluster.schedule(beganS + nextS - cluster.nowS, () -> {
-                statistics(flow.queue()).submitted++;
-                new Submission(flow.queue(), false).send();
-                next(flow, beganS, nextS);
+    /** Schedules the phase's next submission, exponentially distributed after {@code afterS}. */
+    private void scheduleNextArrival(LoadPhase phase, double scenarioStartS, double afterS) {
+        double arrivalS = afterS - Math.log(1 - random.nextDouble()) / phase.ratePerS();
+        if (arrivalS < phase.untilS()) {
+            cluster.schedule(scenarioStartS + arrivalS - cluster.nowS, () -> {
+                statistics(phase.queue()).submitted++;
+                new Submission(phase.queue(), false).send();
+                scheduleNextArrival(phase, scenarioStartS, arrivalS);
             });
         }
     }
 
-    /** Submits one job whose user comes back as told and never gives up. */
+    /** Submits a job whose user retries as responses name it and never gives up. */
     void submitProbe(QueueId queue) {
         Submission probe = new Submission(queue, true);
         openProbes.add(probe);
         probe.send();
     }
 
-    private void measureLag() {
+    private void measureCompletionLag() {
         for (SimulatedCluster.Worker worker : cluster.workers.values()) {
             for (SimulatedCluster.Task task : worker.tasks.values()) {
                 if (task.state == AttemptState.EXITED && task.cause == ExitCause.DONE) {
-                    endedAt.putIfAbsent(task.jobId, cluster.nowS);
+                    taskEndedAtS.putIfAbsent(task.jobId, cluster.nowS);
                 }
             }
         }
-        endedAt.keySet().removeIf(job -> cluster.stateService.value("f/" + job) != null);
-        endedAt.values().forEach(at -> longestCompletionLagS = Math.max(longestCompletionLagS, cluster.nowS - at));
-        cluster.schedule(0.5, this::measureLag);
+        taskEndedAtS.keySet().removeIf(job -> cluster.stateService.value("f/" + job) != null);
+        taskEndedAtS
+                .values()
+                .forEach(endS -> longestCompletionLagS = Math.max(longestCompletionLagS, cluster.nowS - endS));
+        cluster.schedule(0.5, this::measureCompletionLag);
     }
 }
--- a/src/test/java/org/mountlug/node/ZoneScenario.java
+++ b/src/test/java/org/mountlug/node/ZoneScenario.java
@@ -12,51 +12,51 @@
 import org.mountlug.core.zone.ZoneStatus;
 import org.mountlug.settings.OperatorSettings;
 
-/** A simulated cluster in three zones, one of which can be cut off from everything and joined again. */
+/** A simulated cluster in three zones, which can be isolated and rejoined. */
 final class ZoneScenario {
     static final List<String> ZONES = List.of("a", "b", "c");
-    /** Seconds in which a decided start takes effect: a write, a report and its answer. */
+    /** Seconds from the decision on a start to the start: a write, a report and its response. */
     static final double START_DELAY_S = 4;
 
     final SimulatedCluster cluster;
-    /** State of zone a as the leader saw it, by the second. */
+    /** Status of zone a in the leader's view, by simulated time, sampled twice a second. */
     final Map<Double, ZoneStatus> statusHistory = new TreeMap<>();
 
-    ZoneScenario(int controllers, int machinesAZone, ZoneSettings settings) {
-        this(controllers, machinesAZone, settings, false);
+    ZoneScenario(int controllers, int machinesPerZone, ZoneSettings settings) {
+        this(controllers, machinesPerZone, settings, false);
     }
 
-    ZoneScenario(int controllers, int machinesAZone, ZoneSettings settings, boolean oldVersion) {
+    ZoneScenario(int controllers, int machinesPerZone, ZoneSettings settings, boolean runsProductionVersion) {
         cluster = new SimulatedCluster(
                 controllers,
                 List.of(new Team("t", 0, 0, 0, 0, 1)),
                 10,
-                oldVersion,
+                runsProductionVersion,
                 8,
                 8,
                 OperatorSettings.defaults().withZones(settings));
         cluster.cloud.zones = new ArrayList<>(ZONES);
-        cluster.cloud.capacity = 3 * machinesAZone;
+        cluster.cloud.capacity = 3 * machinesPerZone;
         for (String zone : ZONES) {
-            cluster.cloud.zoneCapacity.put(zone, machinesAZone);
-            for (int i = 0; i < machinesAZone; i++) {
+            cluster.cloud.zoneCapacity.put(zone, machinesPerZone);
+            for (int i = 0; i < machinesPerZone; i++) {
                 cluster.addMachine(zone);
             }
         }
-        note();
+        recordStatus();
     }
 
-    private void note() {
+    private void recordStatus() {
         statusHistory.put(cluster.nowS, status("a"));
-        cluster.schedule(0.5, this::note);
+        cluster.schedule(0.5, this::recordStatus);
     }
 
-    /** Nothing in the zone hears or is heard outside it. */
+    /** Cuts all machines of the zone off from controllers outside it. */
     void isolate(String zone) {
         isolate(zone, 1);
     }
 
-    /** The same for a part of the zone. */
+    /** Cuts the first machines of the zone, {@code share} of all, off from controllers outside it. */
     void isolate(String zone, double share) {
         List<SimulatedCluster.Worker> workers = workersIn(zone);
         for (int i = 0; i < workers.size() * share; i++) {
@@ -64,10 +64,12 @@
         }
     }
 
+    /** Ends the isolation of all machines of the zone. */
     void rejoin(String zone) {
         rejoin(zone, 1);
     }
 
+    /** Ends the isolation of the first machines of the zone, {@code share} of all. */
     void rejoin(String zone, double share) {
         List<SimulatedCluster.Worker> workers = workersIn(zone);
         for (int i = 0; i < workers.size() * share; i++) {
@@ -75,13 +77,13 @@
         }
     }
 
-    /** Cuts the zone off and waits until it is lost; false if it never is. */
+    /** Isolates the zone and runs until it is lost; returns false if it is not within 20 s. */
     boolean isolateUntilLost(String zone) {
         isolate(zone);
         return runUntilState(20, zone, ZoneState.LOST);
     }
 
-    /** Joins the zone again and waits until it returns; false if it never does. */
+    /** Ends the zone's isolation and runs until it is returning; returns false if it is not within 30 s. */
     boolean rejoinUntilReturning(String zone) {
         rejoin(zone);
         return runUntilState(30, zone, ZoneState.RETURNING);
@@ -93,6 +95,7 @@
                 .toList();
     }
 
+    /** Returns the zone's status in the leader's view; present and without counts if there is no leader or status. */
     ZoneStatus status(String zone) {
         SimulatedCluster.ControllerProcess leader = cluster.leader();
         if (leader != null) {
@@ -113,12 +116,12 @@
         return cluster.runUntil(timeoutS, () -> state(zone) == state);
     }
 
-    /** Submits an array of a class. */
+    /** Submits an array of one-CPU tasks until it is accepted. */
     void submitArray(int number, String jobClass, String priority, int tasks) {
         submitArray(number, jobClass, priority, tasks, 1);
     }
 
-    /** The same with tasks that take more of a machine. */
+    /** Submits an array until it is accepted; each task requests {@code cpus} CPUs. */
     void submitArray(int number, String jobClass, String priority, int tasks, double cpus) {
         cluster.submitUntilAccepted(
                 FaultTestSteps.jobId(number),
@@ -127,28 +130,30 @@
                 Map.of("lane", jobClass, "urgency", priority, "vcpus", cpus));
     }
 
-    /** Tasks that machines of the zone hold now, by job. */
+    /** Returns the indexes of the active tasks on machines of the zone, by job. */
     Map<String, List<Integer>> activeTasksByJob(String zone) {
-        Map<String, List<Integer>> held = new HashMap<>();
+        Map<String, List<Integer>> taskIndexes = new HashMap<>();
         for (SimulatedCluster.Worker worker : workersIn(zone)) {
             for (SimulatedCluster.Task task : worker.activeTasks()) {
-                held.computeIfAbsent(task.jobId, job -> new ArrayList<>()).add(task.index);
+                taskIndexes
+                        .computeIfAbsent(task.jobId, job -> new ArrayList<>())
+                        .add(task.index);
             }
         }
-        return held;
+        return taskIndexes;
     }
 
-    /** Starts in a zone in this span of time. */
-    long countStarts(String zone, double from, double to) {
+    /** Returns the number of task starts in the zone from {@code fromS} on and before {@code untilS}. */
+    long countStarts(String zone, double fromS, double untilS) {
         return cluster.startLog.stream()
-                .filter(start -> start.zone().equals(zone) && start.atS() >= from && start.atS() < to)
+                .filter(start -> start.zone().equals(zone) && start.atS() >= fromS && start.atS() < untilS)
                 .count();
     }
 
-    /** When a task was first started after this time, or never. */
-    double firstStartAfterS(String job, int index, double from) {
+    /** Returns the time of the task's first start after {@code afterS}; positive infinity if there is none. */
+    double firstStartAfterS(String job, int index, double afterS) {
         return cluster.startLog.stream()
-                .filter(start -> start.jobId().equals(job) && start.taskIndex() == index && start.atS() > from)
+                .filter(start -> start.jobId().equals(job) && start.taskIndex() == index && start.atS() > afterS)
                 .mapToDouble(SimulatedCluster.TaskStart::atS)
                 .findFirst()
                 .orElse(Double.POSITIVE_INFINITY);
