--- a/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
@@ -20,175 +20,188 @@
 import org.mountlug.node.LoadGenerator.LoadPhase;
 import org.mountlug.settings.OperatorSettings;
 
-/** One team floods the controllers, others ask within their shares, and something fails. */
+/** Tests admission control while one team overloads it, other teams stay within their shares, and a fault occurs. */
 class AdmissionFaultsTest {
-    private static final double FLOOD_S = 60;
-    /** Seconds to the first second try of a submission that came before the leader had heard of the flood, and a second one. */
-    private static final double QUIET_BOUND_S = 10;
-    /** Seconds from the end of the last task to the durable end of its job; users are told within as much. */
-    private static final double LAG_S = 3;
-    /** Requests that the state service may refuse in the minute: at the beginning of a flood and of a term. */
-    private static final int LIMITED_MOST = 30;
+    private static final double LOAD_S = 60;
+    /** Seconds for two retries of a submission that arrived before the leader knew of the overload. */
+    private static final double MAX_QUIET_ACCEPTANCE_S = 10;
+    /** Seconds from the end of a job's last task to its final record; users are notified within the same time. */
+    private static final double MAX_COMPLETION_LAG_S = 3;
+    /** Requests that the state service may refuse in a minute, at the beginning of an overload or of a term. */
+    private static final int MAX_RATE_LIMITED_REQUESTS = 30;
 
-    static Stream<Arguments> troubles() {
+    static Stream<Arguments> faults() {
         return Stream.of(AdmissionFault.values())
-                .flatMap(trouble -> Stream.of(3, 5).map(controllers -> Arguments.of(trouble, controllers)));
+                .flatMap(fault -> Stream.of(3, 5).map(controllers -> Arguments.of(fault, controllers)));
     }
 
     @ParameterizedTest(name = "{0}, {1} controllers")
-    @MethodSource("troubles")
-    void whoAsksWithinItsShareIsTakenInAndNothingIsDecidedTwice(AdmissionFault trouble, int controllers) {
-        SimulatedCluster world =
+    @MethodSource("faults")
+    void queuesWithinTheirShareAreAcceptedDespiteAFault(AdmissionFault fault, int controllers) {
+        SimulatedCluster cluster =
                 LoadGenerator.startCluster(controllers, LoadGenerator.operatorsWithAdmission(), "a", "b");
-        LoadGenerator flood = new LoadGenerator(world, trouble.ordinal() * 10 + controllers);
-        flood.schedule(List.of(
-                LoadPhase.of("a", "l", 30, 0, FLOOD_S),
-                LoadPhase.of("b", "l", 0.6, 0, FLOOD_S),
-                LoadPhase.of("b", "m", 0.4, 0, FLOOD_S)));
-        trouble.injection.accept(flood);
-        world.runFor(FLOOD_S);
-        int limited = world.stateService.rateLimitedRequests;
-        world.runFor(FLOOD_S + 5);
-        assertEquals(List.of(), flood.violations);
-        assertEquals(List.of(), world.violations());
-        if (trouble == AdmissionFault.FOLLOWER_OF_PRODUCTION_VERSION) {
-            return; // it takes in what it can and knows no shares: one decision a submission is all that can hold
+        LoadGenerator load = new LoadGenerator(cluster, fault.ordinal() * 10 + controllers);
+        load.schedule(List.of(
+                LoadPhase.of("a", "l", 30, 0, LOAD_S),
+                LoadPhase.of("b", "l", 0.6, 0, LOAD_S),
+                LoadPhase.of("b", "m", 0.4, 0, LOAD_S)));
+        fault.injection.accept(load);
+        cluster.runFor(LOAD_S);
+        int rateLimited = cluster.stateService.rateLimitedRequests;
+        cluster.runFor(LOAD_S + 5);
+        assertEquals(List.of(), load.violations);
+        assertEquals(List.of(), cluster.violations());
+        if (fault == AdmissionFault.FOLLOWER_OF_PRODUCTION_VERSION) {
+            return; // the production version accepts without regard to shares, so only single decisions can be checked
         }
-        assertTrue(limited <= LIMITED_MOST, "refused by the state service: " + limited);
-        assertTrue(flood.longestCompletionLagS <= LAG_S + trouble.leaderlessS, "lag " + flood.longestCompletionLagS);
+        assertTrue(rateLimited <= MAX_RATE_LIMITED_REQUESTS, "requests refused by the state service: " + rateLimited);
+        assertTrue(
+                load.longestCompletionLagS <= MAX_COMPLETION_LAG_S + fault.leaderlessS,
+                "completion lag " + load.longestCompletionLagS);
         for (String jobClass : List.of("l", "m")) {
-            LoadGenerator.QueueStatistics quiet = flood.statistics("b", jobClass);
-            assertEquals(quiet.submitted, quiet.accepted, "all of b, which asks within its share");
+            LoadGenerator.QueueStatistics quiet = load.statistics("b", jobClass);
+            assertEquals(
+                    quiet.submitted,
+                    quiet.accepted,
+                    "all submissions of team b, which stays within its share, are accepted");
             assertTrue(
-                    quiet.slowestAcceptanceS <= trouble.unavailableS + QUIET_BOUND_S,
-                    "slowest of b " + quiet.slowestAcceptanceS);
+                    quiet.slowestAcceptanceS <= fault.unavailableS + MAX_QUIET_ACCEPTANCE_S,
+                    "slowest acceptance of team b " + quiet.slowestAcceptanceS);
         }
     }
 
-    /** Goodput keeps near what the changes allow and does not fall as the flood grows, however refusals are counted. */
-    @ParameterizedTest(name = "{0} submissions a second, {1} controllers, refusals count {2}")
+    /**
+     * Goodput stays near what the write rate limit allows and does not fall as the load grows, whether or not refused requests
+     * count towards the limit.
+     */
+    @ParameterizedTest(name = "{0} submissions per second, {1} controllers, refusals consume the limit {2}")
     @CsvSource({"7, 3, true", "30, 3, true", "60, 5, false", "60, 7, true", "300, 3, true", "300, 5, false"})
-    void goodputDoesNotFallAsTheFloodGrows(double perS, int controllers, boolean refusalsCount) {
-        SimulatedCluster world =
+    void goodputDoesNotFallAsTheLoadGrows(double ratePerS, int controllers, boolean refusalsConsumeLimit) {
+        SimulatedCluster cluster =
                 LoadGenerator.startCluster(controllers, LoadGenerator.operatorsWithAdmission(), "a", "b");
-        world.stateService.refusalsConsumeLimit = refusalsCount;
-        LoadGenerator flood = new LoadGenerator(world, 77);
-        flood.schedule(List.of(LoadPhase.of("a", "l", perS, 0, 80), LoadPhase.of("b", "l", 1, 0, 80)));
-        world.runFor(20);
-        int before = flood.statistics("a", "l").accepted;
-        world.runFor(FLOOD_S);
-        double goodputPerS = (flood.statistics("a", "l").accepted - before) / FLOOD_S;
-        double lasting = 25 * Constants.Admission.PLANNED_SHARE / (1 + Constants.Admission.MIN_WRITES_PER_JOB);
-        double least = (lasting - 1) * Constants.Admission.TARGET_SHARE * 0.75;
-        double most = lasting * Constants.Admission.MAX_RATE_GROWTH_FACTOR;
-        assertTrue(goodputPerS >= Math.min(least, perS) && goodputPerS <= most, goodputPerS + " of " + least);
+        cluster.stateService.refusalsConsumeLimit = refusalsConsumeLimit;
+        LoadGenerator load = new LoadGenerator(cluster, 77);
+        load.schedule(List.of(LoadPhase.of("a", "l", ratePerS, 0, 80), LoadPhase.of("b", "l", 1, 0, 80)));
+        cluster.runFor(20);
+        int acceptedBefore = load.statistics("a", "l").accepted;
+        cluster.runFor(LOAD_S);
+        double goodputPerS = (load.statistics("a", "l").accepted - acceptedBefore) / LOAD_S;
+        double sustainableRate = 25 * Constants.Admission.PLANNED_SHARE / (1 + Constants.Admission.MIN_WRITES_PER_JOB);
+        double minGoodput = (sustainableRate - 1) * Constants.Admission.TARGET_SHARE * 0.75;
+        double maxGoodput = sustainableRate * Constants.Admission.MAX_RATE_GROWTH_FACTOR;
+        assertTrue(
+                goodputPerS >= Math.min(minGoodput, ratePerS) && goodputPerS <= maxGoodput,
+                goodputPerS + " accepted per second, expected from " + minGoodput);
         assertTrue(
-                world.stateService.rateLimitedRequests <= LIMITED_MOST,
-                "refused by the state service: " + world.stateService.rateLimitedRequests);
-        assertEquals(List.of(), flood.violations);
+                cluster.stateService.rateLimitedRequests <= MAX_RATE_LIMITED_REQUESTS,
+                "requests refused by the state service: " + cluster.stateService.rateLimitedRequests);
+        assertEquals(List.of(), load.violations);
     }
 
-    /** Weights decide between floods: Jain's index of what is accepted by weight is near one. */
+    /** Overloaded teams are served by weight: Jain's fairness index of their accepted jobs per weight is near one. */
     @ParameterizedTest(name = "weight {0}, {1} classes of the heavier team")
     @CsvSource({"1, 1", "3, 1", "1, 3"})
-    void floodsShareByWeight(double weight, int classes) {
+    void overloadedTeamsShareByWeight(double weight, int classes) {
         OperatorSettings operators =
                 LoadGenerator.operatorsWithAdmission().withTeamWeights(Map.of("a", weight, "b", 1.0));
-        SimulatedCluster world = LoadGenerator.startCluster(3, operators, "a", "b");
-        LoadGenerator flood = new LoadGenerator(world, 5);
-        List<LoadPhase> flows = new ArrayList<>(List.of(LoadPhase.of("b", "l", 30, 0, 120)));
+        SimulatedCluster cluster = LoadGenerator.startCluster(3, operators, "a", "b");
+        LoadGenerator load = new LoadGenerator(cluster, 5);
+        List<LoadPhase> phases = new ArrayList<>(List.of(LoadPhase.of("b", "l", 30, 0, 120)));
         for (int i = 0; i < classes; i++) {
-            flows.add(LoadPhase.of("a", "l" + i, 30, 0, 120));
+            phases.add(LoadPhase.of("a", "l" + i, 30, 0, 120));
         }
-        flood.schedule(flows);
-        world.runFor(120);
-        double ofA = 0;
-        List<Double> ofClasses = new ArrayList<>();
+        load.schedule(phases);
+        cluster.runFor(120);
+        double weightedAcceptedOfA = 0;
+        List<Double> acceptedByClass = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
-            ofClasses.add((double) flood.statistics("a", "l" + i).accepted);
-            ofA += flood.statistics("a", "l" + i).accepted / weight;
+            acceptedByClass.add((double) load.statistics("a", "l" + i).accepted);
+            weightedAcceptedOfA += load.statistics("a", "l" + i).accepted / weight;
         }
-        double fairness = jain(List.of(ofA, (double) flood.statistics("b", "l").accepted));
-        assertTrue(fairness > 0.95, "between teams " + fairness);
-        assertTrue(jain(ofClasses) > 0.95, "between classes " + ofClasses);
+        double fairness = jainIndex(List.of(weightedAcceptedOfA, (double) load.statistics("b", "l").accepted));
+        assertTrue(fairness > 0.95, "fairness between teams " + fairness);
+        assertTrue(jainIndex(acceptedByClass) > 0.95, "accepted by class " + acceptedByClass);
     }
 
-    private static double jain(List<Double> values) {
+    /** Returns Jain's fairness index: one for equal values, down to 1/n if one of n values has all. */
+    private static double jainIndex(List<Double> values) {
         double sum = values.stream().mapToDouble(Double::doubleValue).sum();
         double squares = values.stream().mapToDouble(value -> value * value).sum();
         return sum * sum / (values.size() * squares);
     }
 
-    /** The same submission at every controller in the same instant: one is created, and all say the same of it. */
+    /** Every controller gets the same submission at the same time: at most one creates the job, and all decide alike. */
     @Test
-    void theSameSubmissionAtAllControllersIsDecidedOnce() {
-        SimulatedCluster world = LoadGenerator.startCluster(5, LoadGenerator.operatorsWithAdmission(), "a");
-        LoadGenerator flood = new LoadGenerator(world, 3);
-        flood.schedule(List.of(LoadPhase.of("a", "l", 60, 0, 60)));
-        world.runFor(20);
+    void allControllersDecideASubmissionAlike() {
+        SimulatedCluster cluster = LoadGenerator.startCluster(5, LoadGenerator.operatorsWithAdmission(), "a");
+        LoadGenerator load = new LoadGenerator(cluster, 3);
+        load.schedule(List.of(LoadPhase.of("a", "l", 60, 0, 60)));
+        cluster.runFor(20);
         Map<String, Object> queue = Map.of("crew", "a", "lane", "l");
         int deferred = 0;
         int accepted = 0;
         for (int number = 900_000; number < 900_060; number++) {
-            List<UserResponse> answers = new ArrayList<>();
+            List<UserResponse> responses = new ArrayList<>();
             String job = jobId(number);
-            for (SimulatedCluster.ControllerProcess node : world.controllers) {
-                byte[] body = node.buildSubmission(job, 1, false, queue);
-                node.askAsync(
+            for (SimulatedCluster.ControllerProcess process : cluster.controllers) {
+                byte[] body = process.buildSubmission(job, 1, false, queue);
+                process.askAsync(
                         "submission",
                         job,
-                        r -> node.users.submit(body, r),
-                        a -> answers.add((UserResponse) a.get("answer")));
+                        reply -> process.users.submit(body, reply),
+                        fields -> responses.add((UserResponse) fields.get("answer")));
             }
-            world.runFor(0.3);
-            assertEquals(world.controllers.size(), answers.size(), "answered at once");
-            answers.removeIf(answer -> answer instanceof UserResponse.Unavailable); // says nothing of the job
-            Set<Object> kinds = new HashSet<>();
+            cluster.runFor(0.3);
+            assertEquals(cluster.controllers.size(), responses.size(), "every controller responds within 0.3 s");
+            responses.removeIf(response -> response instanceof UserResponse.Unavailable); // is no decision on the job
+            Set<Object> decisions = new HashSet<>();
             int created = 0;
-            for (UserResponse answer : answers) {
-                created += answer instanceof UserResponse.Accepted ? 1 : 0;
-                kinds.add(answer instanceof UserResponse.Deferred ? answer : "accepted");
+            for (UserResponse response : responses) {
+                created += response instanceof UserResponse.Accepted ? 1 : 0;
+                decisions.add(response instanceof UserResponse.Deferred ? response : "accepted");
             }
-            assertEquals(1, kinds.size(), answers.toString());
+            assertEquals(1, decisions.size(), responses.toString());
             accepted += created;
             deferred += created == 0 ? 1 : 0;
-            assertTrue(created <= 1, answers.toString());
+            assertTrue(created <= 1, responses.toString());
         }
         assertTrue(deferred > 20, "deferred " + deferred);
-        assertEquals(List.of(), world.violations());
+        assertEquals(List.of(), cluster.violations());
         assertTrue(accepted > 0 || deferred == 60);
     }
 
-    /** A deferred submission leaves nothing behind: cancelling it is 404, and what it is repeated with is judged anew. */
+    /** A deferred submission leaves no record: polls and cancellations get 404, and a changed repetition is decided anew. */
     @Test
-    void aDeferredSubmissionIsNotKnown() {
-        SimulatedCluster world = LoadGenerator.startCluster(3, LoadGenerator.operatorsWithAdmission(), "a", "b");
-        LoadGenerator flood = new LoadGenerator(world, 4);
-        flood.schedule(List.of(LoadPhase.of("a", "l", 60, 0, 60)));
-        world.runFor(20);
-        SimulatedCluster.ControllerProcess node = world.controllers.get(0);
-        Map<String, Object> flooded = Map.of("crew", "a", "lane", "l");
+    void deferredSubmissionLeavesNoRecord() {
+        SimulatedCluster cluster = LoadGenerator.startCluster(3, LoadGenerator.operatorsWithAdmission(), "a", "b");
+        LoadGenerator load = new LoadGenerator(cluster, 4);
+        load.schedule(List.of(LoadPhase.of("a", "l", 60, 0, 60)));
+        cluster.runFor(20);
+        SimulatedCluster.ControllerProcess process = cluster.controllers.get(0);
+        Map<String, Object> overloadedQueue = Map.of("crew", "a", "lane", "l");
         String job = jobId(900_000);
-        for (int number = 900_001; !deferred(node.submit(job, 1, false, flooded)); number++) {
+        for (int number = 900_001; !isDeferred(process.submit(job, 1, false, overloadedQueue)); number++) {
             job = jobId(number);
         }
-        assertEquals(404, node.cancel(job).get("code"));
-        assertEquals(404, node.poll(job).get("code"));
-        assertTrue(deferred(world.controllers.get(1).submit(job, 1, false, flooded)), "early, elsewhere");
-        assertEquals(400, node.submit(job, 0, false, flooded).get("code"));
+        assertEquals(404, process.cancel(job).get("code"));
+        assertEquals(404, process.poll(job).get("code"));
+        assertTrue(
+                isDeferred(cluster.controllers.get(1).submit(job, 1, false, overloadedQueue)),
+                "deferred by another controller when repeated early");
+        assertEquals(400, process.submit(job, 0, false, overloadedQueue).get("code"));
         assertEquals(
                 422,
-                node.submit(job, 1, false, Map.of("crew", "nobody", "lane", "l"))
+                process.submit(job, 1, false, Map.of("crew", "nobody", "lane", "l"))
                         .get("code"));
         assertEquals(
                 201,
-                node.submit(job, 1, false, Map.of("crew", "b", "lane", "l")).get("code"),
-                "of a quiet team");
-        assertEquals(200, world.controllers.get(2).cancel(job).get("code"));
-        assertEquals(List.of(), world.violations());
+                process.submit(job, 1, false, Map.of("crew", "b", "lane", "l")).get("code"),
+                "accepted for a team within its share");
+        assertEquals(200, cluster.controllers.get(2).cancel(job).get("code"));
+        assertEquals(List.of(), cluster.violations());
     }
 
-    private static boolean deferred(Map<String, Object> answer) {
-        return answer.get("answer") instanceof UserResponse.Deferred;
+    private static boolean isDeferred(Map<String, Object> response) {
+        return response.get("answer") instanceof UserResponse.Deferred;
     }
 }
--- a/src/test/java/org/mountlug/node/AdmissionMeasurementTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionMeasurementTest.java
@@ -18,59 +18,65 @@
 import org.mountlug.settings.OperatorSettings;
 
 /**
- * Measures a flood of one team beside a quiet one, with and without admission by shares, and prints a row for the table of
- * {@code docs/admission.md}. One row with every build, the table's by hand: {@code mvn -B test -Dtest=AdmissionMeasurementTest
- * -Dmountlug.floods=all}.
+ * Measures the overload by one team beside a team within its share, with admission control on and off, and prints rows for the
+ * table of {@code docs/admission.md}. Builds run one row; the table is printed by {@code mvn -B test
+ * -Dtest=AdmissionMeasurementTest -Dmountlug.floods=all}.
  */
 class AdmissionMeasurementTest {
-    private static final double FLOOD_S = 60;
+    private static final double LOAD_S = 60;
     private static final double SETTLE_S = 70;
 
-    static Stream<Arguments> floods() {
+    static Stream<Arguments> cases() {
         if (!System.getProperty("mountlug.floods", "").equals("all")) {
             return Stream.of(Arguments.of(60, 3, true, true));
         }
         return Stream.of(false, true)
-                .flatMap(strict -> Stream.of(false, true)
-                        .flatMap(on -> Stream.concat(
-                                Stream.of(5, 30, 60, 120, 300).map(perS -> Arguments.of(perS, 3, on, strict)),
-                                Stream.of(60, 120).map(perS -> Arguments.of(perS, 7, on, strict)))));
+                .flatMap(refusalsConsumeLimit -> Stream.of(false, true)
+                        .flatMap(admissionEnabled -> Stream.concat(
+                                Stream.of(5, 30, 60, 120, 300)
+                                        .map(ratePerS ->
+                                                Arguments.of(ratePerS, 3, admissionEnabled, refusalsConsumeLimit)),
+                                Stream.of(60, 120)
+                                        .map(ratePerS ->
+                                                Arguments.of(ratePerS, 7, admissionEnabled, refusalsConsumeLimit)))));
     }
 
-    @ParameterizedTest(name = "{0} a second, {1} controllers, admission {2}, refusals count {3}")
-    @MethodSource("floods")
-    void measure(int perS, int controllers, boolean on, boolean refusalsCount) {
-        OperatorSettings operators = on ? LoadGenerator.operatorsWithAdmission() : OperatorSettings.defaults();
-        SimulatedCluster world = LoadGenerator.startCluster(controllers, operators, "a", "b");
-        world.stateService.refusalsConsumeLimit = refusalsCount;
-        LoadGenerator flood = new LoadGenerator(world, 1);
-        flood.schedule(List.of(LoadPhase.of("a", "l", perS, 0, FLOOD_S), LoadPhase.of("b", "l", 1, 0, FLOOD_S)));
-        world.runFor(FLOOD_S + SETTLE_S);
-        LoadGenerator.QueueStatistics flooding = flood.statistics("a", "l");
-        LoadGenerator.QueueStatistics quiet = flood.statistics("b", "l");
+    @ParameterizedTest(
+            name = "{0} submissions per second, {1} controllers, admission {2}, refusals consume the limit {3}")
+    @MethodSource("cases")
+    void measure(int ratePerS, int controllers, boolean admissionEnabled, boolean refusalsConsumeLimit) {
+        OperatorSettings operators =
+                admissionEnabled ? LoadGenerator.operatorsWithAdmission() : OperatorSettings.defaults();
+        SimulatedCluster cluster = LoadGenerator.startCluster(controllers, operators, "a", "b");
+        cluster.stateService.refusalsConsumeLimit = refusalsConsumeLimit;
+        LoadGenerator load = new LoadGenerator(cluster, 1);
+        load.schedule(List.of(LoadPhase.of("a", "l", ratePerS, 0, LOAD_S), LoadPhase.of("b", "l", 1, 0, LOAD_S)));
+        cluster.runFor(LOAD_S + SETTLE_S);
+        LoadGenerator.QueueStatistics overloaded = load.statistics("a", "l");
+        LoadGenerator.QueueStatistics quiet = load.statistics("b", "l");
         System.out.printf(
                 "| %d | %d | %s | %s | %d of %d | %d of %d | %.1f | %d | %d | %.1f | %.1f |%n",
-                perS,
+                ratePerS,
                 controllers,
-                on ? "on" : "off",
-                refusalsCount ? "count" : "do not",
-                flooding.accepted,
-                flooding.submitted,
+                admissionEnabled ? "on" : "off",
+                refusalsConsumeLimit ? "count" : "do not",
+                overloaded.accepted,
+                overloaded.submitted,
                 quiet.accepted,
                 quiet.submitted,
                 quiet.slowestAcceptanceS,
-                world.stateService.rateLimitedRequests,
-                world.stateService.keys("f/").size(),
-                flood.longestCompletionLagS,
-                flooding.requests / (double) flooding.submitted);
-        if (on) {
-            assertEquals(quiet.submitted, quiet.accepted, "the quiet team");
-            assertEquals(List.of(), flood.violations);
+                cluster.stateService.rateLimitedRequests,
+                cluster.stateService.keys("f/").size(),
+                load.longestCompletionLagS,
+                overloaded.requests / (double) overloaded.submitted);
+        if (admissionEnabled) {
+            assertEquals(quiet.submitted, quiet.accepted, "all submissions of the team within its share are accepted");
+            assertEquals(List.of(), load.violations);
         }
         measureRefusals();
     }
 
-    /** Processor time of a refusal at the gate, printed; the parsing of its request comes on top. */
+    /** Prints the time that the admission gate takes for a refusal, without the parsing of the request. */
     private static void measureRefusals() {
         QueueId queue = new QueueId("a", "l");
         AdmissionGate gate = new AdmissionGate(
@@ -78,13 +84,13 @@
         CursorSchedule schedule = CursorSchedule.starting(2_000_000, new long[] {500, 500, 500, 500, 500, 500});
         gate.updateTable(new AdmissionTable(2_000_000, 6, Map.of(queue, schedule)), 0);
         int refusals = 20_000;
-        int longest = 0;
-        long began = System.nanoTime();
+        int maxDemandEntries = 0;
+        long startNs = System.nanoTime();
         for (int i = 0; i < refusals; i++) {
             gate.decide(queue, "wk-" + (100_000 + i), 2_000_000, 0);
-            longest = Math.max(longest, gate.demand().size());
+            maxDemandEntries = Math.max(maxDemandEntries, gate.demand().size());
         }
-        System.out.printf("%.2f microseconds a refusal%n", (System.nanoTime() - began) / 1e3 / refusals);
-        assertTrue(longest == 1, "nothing is kept of a refusal");
+        System.out.printf("%.2f microseconds per refusal%n", (System.nanoTime() - startNs) / 1e3 / refusals);
+        assertTrue(maxDemandEntries == 1, "the gate stores nothing for a refused submission");
     }
 }
--- a/src/test/java/org/mountlug/node/AdmissionReplayTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionReplayTest.java
@@ -16,21 +16,23 @@
 import org.mountlug.node.LoadGenerator.LoadPhase;
 
 /**
- * The minutes before a freeze, again and again, against five controllers that fail: team a floods in one class, team c in bursts,
- * b and d go on as ever. Six minutes with every build; an hour with several seeds by hand: {@code mvn -B test
+ * Replays a repeating load with random faults against five controllers: team a overloads one class, team c submits in bursts,
+ * teams b and d submit at a steady rate. Builds run six minutes; an hour with several seeds is run by {@code mvn -B test
  * -Dtest=AdmissionReplayTest -Dmountlug.replay.minutes=60 -Dmountlug.replay.seeds=5}.
  */
 class AdmissionReplayTest {
+    /** Seconds after which the load repeats. */
     private static final double PERIOD_S = 180;
-    private static final double PROBE_S = 20;
-    private static final double FAULT_S = 90;
-    /** Requests that the state service may refuse in a minute, faults included. */
-    private static final double LIMITED_A_MINUTE = 30;
 
-    /** Noise of what a cursor meets, over the seconds in which it is counted, as a factor on the bound. */
+    private static final double PROBE_INTERVAL_S = 20;
+    private static final double FAULT_INTERVAL_S = 90;
+    /** Requests that the state service may refuse per minute, with faults. */
+    private static final double MAX_RATE_LIMITED_PER_MINUTE = 30;
+
+    /** Factor on a cursor's lap time in the bound, for random variation of the submissions in a lap. */
     private static final double BOUND_MARGIN = 1.5;
 
-    private static final List<AdmissionFault> TROUBLES = List.of(
+    private static final List<AdmissionFault> FAULTS = List.of(
             AdmissionFault.NONE,
             AdmissionFault.LEADER_RESTARTS_TWICE,
             AdmissionFault.WRITE_RESPONSES_LOST,
@@ -46,94 +48,98 @@
         return IntStream.rangeClosed(1, Integer.getInteger("mountlug.replay.seeds", 1));
     }
 
-    /** Every submission a second that each queue is asked for at its highest. */
-    private static Map<QueueId, Double> highest(List<LoadPhase> flows) {
-        Map<QueueId, Double> highest = new HashMap<>();
-        flows.forEach(flow -> highest.merge(flow.queue(), flow.ratePerS(), Double::sum));
-        return highest;
+    /** Returns each queue's highest submissions per second, as the sum of all its phases. */
+    private static Map<QueueId, Double> peakRates(List<LoadPhase> phases) {
+        Map<QueueId, Double> peakRates = new HashMap<>();
+        phases.forEach(phase -> peakRates.merge(phase.queue(), phase.ratePerS(), Double::sum));
+        return peakRates;
     }
 
-    private static List<LoadPhase> period(double atS) {
+    /** Returns the phases of one period of the load. */
+    private static List<LoadPhase> period(double startS) {
         return List.of(
-                LoadPhase.of("a", "sims", 12, atS + 20, atS + 80),
-                LoadPhase.of("a", "training", 0.2, atS, atS + PERIOD_S),
-                LoadPhase.of("b", "proofs", 0.4, atS, atS + PERIOD_S),
-                LoadPhase.of("c", "sims", 0.2, atS, atS + PERIOD_S),
-                LoadPhase.of("c", "sims", 6, atS + 60, atS + 75),
-                LoadPhase.of("d", "services", 0.05, atS, atS + PERIOD_S));
+                LoadPhase.of("a", "sims", 12, startS + 20, startS + 80),
+                LoadPhase.of("a", "training", 0.2, startS, startS + PERIOD_S),
+                LoadPhase.of("b", "proofs", 0.4, startS, startS + PERIOD_S),
+                LoadPhase.of("c", "sims", 0.2, startS, startS + PERIOD_S),
+                LoadPhase.of("c", "sims", 6, startS + 60, startS + 75),
+                LoadPhase.of("d", "services", 0.05, startS, startS + PERIOD_S));
     }
 
     /**
-     * Seconds within which a submission of the queue is taken in whose user comes back as told, by the formula of the page on
-     * admission: a lap of the cursor at the pace of the queue's least part, and what the faults take.
+     * Returns the seconds within which a submission is accepted if its user retries as responses name it, by the formula of
+     * {@code docs/admission.md}: a lap of the cursor at the queue's smallest share of the capacity, and the retries after
+     * responses without a decision.
      */
-    private static double boundS(QueueId queue, Map<QueueId, Double> highest) {
+    private static double boundS(QueueId queue, Map<QueueId, Double> peakRates) {
         double capacity = 25 * Constants.Admission.PLANNED_SHARE / (1 + Constants.Admission.MIN_WRITES_PER_JOB);
-        long teams = highest.keySet().stream().map(QueueId::team).distinct().count();
-        long classes = highest.keySet().stream()
+        long teams = peakRates.keySet().stream().map(QueueId::team).distinct().count();
+        long classes = peakRates.keySet().stream()
                 .filter(other -> other.team().equals(queue.team()))
                 .count();
-        double part = capacity / teams / classes;
-        double askedPerS = highest.get(queue);
+        double queueCapacity = capacity / teams / classes;
+        double peakRatePerS = peakRates.get(queue);
         double undecidedS = Constants.Admission.MAX_DRAIN_S + Constants.Admission.UNDECIDED_RETRY_SPREAD_S;
-        if (askedPerS <= part) {
+        if (peakRatePerS <= queueCapacity) {
             return undecidedS;
         }
-        double presentS = Constants.Admission.USER_GIVE_UP_S
+        double retryPeriodS = Constants.Admission.USER_GIVE_UP_S
                 + Constants.Admission.FLOOD_ONSET_S
                 + Constants.Admission.TURN_DURATION_MS / 1000.0;
-        double lapS = askedPerS * presentS / (part * Constants.Admission.TARGET_SHARE);
+        double lapS = peakRatePerS * retryPeriodS / (queueCapacity * Constants.Admission.TARGET_SHARE);
         return undecidedS + Constants.Admission.SCHEDULE_HORIZON_MS / 1000.0 + lapS * BOUND_MARGIN;
     }
 
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
-    void everyTeamsOldestSubmissionIsTakenInWithinTheBound(int seed) {
-        double forS = 60.0 * Integer.getInteger("mountlug.replay.minutes", 6);
-        SimulatedCluster world =
+    void probesOfEveryQueueAreAcceptedWithinTheBound(int seed) {
+        double durationS = 60.0 * Integer.getInteger("mountlug.replay.minutes", 6);
+        SimulatedCluster cluster =
                 LoadGenerator.startCluster(5, LoadGenerator.operatorsWithAdmission(), "a", "b", "c", "d");
-        LoadGenerator flood = new LoadGenerator(world, seed);
+        LoadGenerator load = new LoadGenerator(cluster, seed);
         SplittableRandom random = new SplittableRandom(seed);
-        List<LoadPhase> flows = new ArrayList<>();
-        for (double atS = 0; atS < forS; atS += PERIOD_S) {
-            flows.addAll(period(atS));
+        List<LoadPhase> phases = new ArrayList<>();
+        for (double atS = 0; atS < durationS; atS += PERIOD_S) {
+            phases.addAll(period(atS));
         }
-        flood.schedule(flows);
-        Map<QueueId, Double> highest = highest(period(0));
-        for (double atS = 5; atS < forS; atS += PROBE_S) {
-            highest.keySet().forEach(flood::submitProbe);
-            if (Math.floor(atS / FAULT_S) > Math.floor((atS - PROBE_S) / FAULT_S)) {
-                TROUBLES.get(random.nextInt(TROUBLES.size())).injection.accept(flood);
+        load.schedule(phases);
+        Map<QueueId, Double> peakRates = peakRates(period(0));
+        for (double atS = 5; atS < durationS; atS += PROBE_INTERVAL_S) {
+            peakRates.keySet().forEach(load::submitProbe);
+            if (Math.floor(atS / FAULT_INTERVAL_S) > Math.floor((atS - PROBE_INTERVAL_S) / FAULT_INTERVAL_S)) {
+                FAULTS.get(random.nextInt(FAULTS.size())).injection.accept(load);
             }
-            world.runFor(PROBE_S);
+            cluster.runFor(PROBE_INTERVAL_S);
         }
-        world.runFor(PERIOD_S);
-        highest.keySet().forEach(queue -> {
-            LoadGenerator.QueueStatistics outcome = flood.statistics(queue);
+        cluster.runFor(PERIOD_S);
+        peakRates.keySet().forEach(queue -> {
+            LoadGenerator.QueueStatistics statistics = load.statistics(queue);
             double faultS = AdmissionFault.STATE_SERVICE_OUTAGE.unavailableS + Constants.Admission.OUTAGE_RECOVERY_S;
-            double boundS = boundS(queue, highest) + faultS;
+            double boundS = boundS(queue, peakRates) + faultS;
             System.out.printf(
-                    "replay, seed %d, %.0f min, %s/%s: %d of %d taken in, %d gave up, slowest %.1f s, probe %.1f s of %.1f s%n",
+                    "replay, seed %d, %.0f min, %s/%s: %d of %d accepted, %d abandoned, slowest %.1f s, slowest probe %.1f s, bound %.1f s%n",
                     seed,
-                    forS / 60,
+                    durationS / 60,
                     queue.team(),
                     queue.jobClass(),
-                    outcome.accepted,
-                    outcome.submitted,
-                    outcome.abandoned,
-                    outcome.slowestAcceptanceS,
-                    outcome.slowestProbeS,
+                    statistics.accepted,
+                    statistics.submitted,
+                    statistics.abandoned,
+                    statistics.slowestAcceptanceS,
+                    statistics.slowestProbeS,
                     boundS);
-            assertTrue(outcome.slowestProbeS <= boundS, queue + " " + outcome.slowestProbeS + " of " + boundS);
+            assertTrue(
+                    statistics.slowestProbeS <= boundS,
+                    queue + ": slowest probe " + statistics.slowestProbeS + " s, bound " + boundS);
         });
         System.out.printf(
-                "replay, seed %d: %d refused by the state service, %d slipped%n",
-                seed, world.stateService.rateLimitedRequests, flood.missedFinalTurns);
+                "replay, seed %d: %d requests refused by the state service, %d final turns missed%n",
+                seed, cluster.stateService.rateLimitedRequests, load.missedFinalTurns);
         assertTrue(
-                world.stateService.rateLimitedRequests <= LIMITED_A_MINUTE * forS / 60,
-                "refused: " + world.stateService.rateLimitedRequests);
-        assertEquals(0, flood.longestOpenProbeS(), "all probes are taken in");
-        assertEquals(List.of(), flood.violations);
-        assertEquals(List.of(), world.violations());
+                cluster.stateService.rateLimitedRequests <= MAX_RATE_LIMITED_PER_MINUTE * durationS / 60,
+                "requests refused by the state service: " + cluster.stateService.rateLimitedRequests);
+        assertEquals(0, load.longestOpenProbeS(), "all probes are accepted");
+        assertEquals(List.of(), load.violations);
+        assertEquals(List.of(), cluster.violations());
     }
 }
--- a/src/test/java/org/mountlug/node/LargeFleetTest.java
+++ b/src/test/java/org/mountlug/node/LargeFleetTest.java
@@ -14,25 +14,27 @@
 import org.mountlug.store.StateKeys;
 
 /**
- * No fixed limit stands below 4,000 machines: all are rented or found, get work, are known again to a new leader, report at
- * the same time, are lost by the thousand and are returned. Asserted on counts and bounds, never on the clock.
+ * Tests that no fixed limit lies below 4,000 machines: they get tasks, report to a new leader, lose a whole zone that rejoins,
+ * and are returned to the cloud. The assertions are about counts and bounds, not about elapsed time.
  */
 class LargeFleetTest {
-    private static final int A_ZONE = 1334;
-    private static final int MACHINES = 3 * A_ZONE;
+    private static final int MACHINES_PER_ZONE = 1334;
+    private static final int MACHINES = 3 * MACHINES_PER_ZONE;
     private static final int JOBS = 10;
-    private static final int TASKS = 260;
-    private static final double WAIT_S = 300;
+    private static final int TASKS_PER_JOB = 260;
+    private static final double TIMEOUT_S = 300;
 
-    private final ZoneScenario scenario = new ZoneScenario(3, A_ZONE, ZoneSettings.defaults());
+    private final ZoneScenario scenario = new ZoneScenario(3, MACHINES_PER_ZONE, ZoneSettings.defaults());
     private final SimulatedCluster cluster = scenario.cluster;
 
-    private int known() {
+    /** Returns the number of machines that the leader counts as up; 0 without a leader. */
+    private int machinesKnownToLeader() {
         SimulatedCluster.ControllerProcess leader = cluster.leader();
         return leader == null ? 0 : leader.controller.upMachineCount();
     }
 
-    private Set<String> busy() {
+    /** Returns the names of the machines with active tasks. */
+    private Set<String> busyMachines() {
         Set<String> busy = new HashSet<>();
         for (SimulatedCluster.Worker worker : cluster.workers.values()) {
             if (!worker.activeTasks().isEmpty()) {
@@ -43,49 +45,57 @@
     }
 
     @Test
-    void aRoundALeaderChangeALossAndAReturnOfAllReports() {
+    void fourThousandMachinesSurviveLeaderChangeAndZoneLoss() {
         cluster.taskDurationS = 1000;
         for (int job = 1; job <= JOBS; job++) {
-            scenario.submitArray(job, "parts", "standard", TASKS, SimulatedCluster.MACHINE_CPUS);
+            scenario.submitArray(job, "parts", "standard", TASKS_PER_JOB, SimulatedCluster.MACHINE_CPUS);
         }
         assertTrue(
-                cluster.runUntil(WAIT_S, () -> cluster.startLog.size() == JOBS * TASKS), cluster.startLog.size() + "");
-        assertEquals(MACHINES, known());
-        Set<String> before = busy();
+                cluster.runUntil(TIMEOUT_S, () -> cluster.startLog.size() == JOBS * TASKS_PER_JOB),
+                cluster.startLog.size() + " starts");
+        assertEquals(MACHINES, machinesKnownToLeader());
+        Set<String> busyBefore = busyMachines();
         cluster.runFor(30);
         assertNotNull(
-                cluster.stateService.value(StateKeys.imageIndexShard(1)), "one value does not hold the images of all");
+                cluster.stateService.value(StateKeys.imageIndexShard(1)),
+                "the image index has a second shard, as one value cannot hold all machines");
         assertTrue(cluster.stateService.largestValueBytes <= 8 * 1024);
 
         SimulatedCluster.ControllerProcess leader = cluster.leader();
         leader.kill();
         assertTrue(cluster.runUntil(
-                30, () -> cluster.leader() != null && cluster.leader() != leader && known() == cluster.workers.size()));
+                30,
+                () -> cluster.leader() != null
+                        && cluster.leader() != leader
+                        && machinesKnownToLeader() == cluster.workers.size()));
         cluster.runFor(5);
-        assertEquals(JOBS * TASKS, cluster.startLog.size(), "nothing is started twice for the change");
-        assertEquals(before, busy());
+        assertEquals(JOBS * TASKS_PER_JOB, cluster.startLog.size(), "the leader change starts no task again");
+        assertEquals(busyBefore, busyMachines());
 
-        int lost = scenario.activeTasksByJob("a").values().stream()
+        int displacedTasks = scenario.activeTasksByJob("a").values().stream()
                 .mapToInt(List::size)
                 .sum();
         scenario.isolate("a");
         assertTrue(scenario.runUntilState(30, "a", ZoneState.LOST));
         assertTrue(
-                cluster.runUntil(WAIT_S, () -> cluster.startLog.size() >= JOBS * TASKS + lost), "all lost work lands");
+                cluster.runUntil(TIMEOUT_S, () -> cluster.startLog.size() >= JOBS * TASKS_PER_JOB + displacedTasks),
+                "all displaced tasks are restarted");
         scenario.rejoin("a");
         assertTrue(scenario.runUntilState(60, "a", ZoneState.PRESENT));
-        assertEquals(cluster.workers.size(), known(), "every report of the zone has come back");
+        assertEquals(cluster.workers.size(), machinesKnownToLeader(), "every machine of the zone reports again");
         assertEquals(List.of(), cluster.violations());
 
         for (int job = 1; job <= JOBS; job++) {
             String id = jobId(job);
-            SimulatedCluster.ControllerProcess node = cluster.leader();
+            SimulatedCluster.ControllerProcess process = cluster.leader();
             assertTrue(cluster.runUntil(60, () -> {
-                var answer = node.cancel(id);
-                return answer != null && "withdrawn".equals(answer.get("status"));
+                var response = process.cancel(id);
+                return response != null && "withdrawn".equals(response.get("status"));
             }));
         }
-        assertTrue(cluster.runUntil(WAIT_S, () -> cluster.workers.size() <= 1), cluster.workers.size() + " are left");
+        assertTrue(
+                cluster.runUntil(TIMEOUT_S, () -> cluster.workers.size() <= 1),
+                cluster.workers.size() + " machines are left");
         int rented = cluster.machinesRented;
         cluster.runFor(30);
         assertEquals(rented, cluster.machinesRented);
--- a/src/test/java/org/mountlug/node/SeededFaultsTest.java
+++ b/src/test/java/org/mountlug/node/SeededFaultsTest.java
@@ -11,107 +11,115 @@
 import org.mountlug.core.model.Team;
 
 /**
- * Faults that meet by the luck of a seed, each at an offset from the other, with all checks of the world on. A seed that
- * fails is played again with {@code -Dmountlug.seeds=SEED..SEED}, and becomes a case of its own once its cause is known.
+ * Runs a load with two to four randomly drawn faults that overlap, with all checks of the simulated cluster. A failing seed is
+ * run again with {@code -Dmountlug.seeds=SEED..SEED}, and gets a test of its own once its cause is known.
  */
 class SeededFaultsTest {
-    /** Played with every build; a longer list by hand. */
-    private static final String SEEDS = "1..60";
+    /** The range of seeds without {@code -Dmountlug.seeds}. */
+    private static final String DEFAULT_SEEDS = "1..60";
 
     static LongStream seeds() {
-        String[] range = System.getProperty("mountlug.seeds", SEEDS).split("\\.\\.");
+        String[] range = System.getProperty("mountlug.seeds", DEFAULT_SEEDS).split("\\.\\.");
         return LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[range.length - 1]));
     }
 
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
-    void faultsThatMeetBreakNothing(long seed) {
-        play(seed, false);
+    void overlappingFaultsCauseNoViolation(long seed) {
+        runSeed(seed, false);
     }
 
-    /** The same with a pause, a partial connection, late boots, a storm, failing jobs or a guest among the faults. */
+    /** The first fault is a newer one: a long pause, partial partition, slow boots, polls, failing jobs, a best-effort team. */
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
-    void troublesOnNoListMeetOthersAndBreakNothing(long seed) {
-        play(seed, true);
+    void overlappingFaultsWithANewerOneCauseNoViolation(long seed) {
+        runSeed(seed, true);
     }
 
-    private static InjectedFault draw(SplittableRandom r, boolean newer, boolean first) {
-        int kinds = InjectedFault.values().length;
-        if (!newer) {
-            return InjectedFault.values()[r.nextInt(InjectedFault.ORIGINAL_COUNT)];
+    /** Draws one of the original faults, or of all; with newer faults, the first one drawn is a newer one. */
+    private static InjectedFault drawFault(SplittableRandom random, boolean withNewerFaults, boolean first) {
+        int faultCount = InjectedFault.values().length;
+        if (!withNewerFaults) {
+            return InjectedFault.values()[random.nextInt(InjectedFault.ORIGINAL_COUNT)];
         }
         return InjectedFault.values()[
                 first
-                        ? InjectedFault.ORIGINAL_COUNT + r.nextInt(kinds - InjectedFault.ORIGINAL_COUNT)
-                        : r.nextInt(kinds)];
+                        ? InjectedFault.ORIGINAL_COUNT + random.nextInt(faultCount - InjectedFault.ORIGINAL_COUNT)
+                        : random.nextInt(faultCount)];
     }
 
-    private static void play(long seed, boolean newer) {
-        SplittableRandom r = new SplittableRandom(seed);
-        SimulatedCluster w = new SimulatedCluster(
-                r.nextBoolean() ? 3 : 5,
+    private static void runSeed(long seed, boolean withNewerFaults) {
+        SplittableRandom random = new SplittableRandom(seed);
+        SimulatedCluster cluster = new SimulatedCluster(
+                random.nextBoolean() ? 3 : 5,
                 List.of(new Team("t", 0, 40, 0, 0, 1), new Team("u", 8, 16, 0, 0, 1), new Team("guest", 0, 0, 0, 0, 1)),
-                r.nextBoolean() ? 10 : 16);
-        w.cloud.zones = r.nextBoolean() ? List.of("a") : List.of("a", "b");
-        w.machineBootS = 0.5 + r.nextDouble() * 3;
-        w.cloud.listLagS = r.nextDouble() * 15;
-        w.cloud.capacity = 16 + r.nextInt(20);
-        w.taskDurationS = 4 + r.nextInt(40);
-        w.runFor(5);
-        // Work comes all the time, and some of it is cancelled soon.
+                random.nextBoolean() ? 10 : 16);
+        cluster.cloud.zones = random.nextBoolean() ? List.of("a") : List.of("a", "b");
+        cluster.machineBootS = 0.5 + random.nextDouble() * 3;
+        cluster.cloud.listLagS = random.nextDouble() * 15;
+        cluster.cloud.capacity = 16 + random.nextInt(20);
+        cluster.taskDurationS = 4 + random.nextInt(40);
+        cluster.runFor(5);
+        // Jobs are submitted all the time, and some of them are cancelled soon.
         double spanS = 50;
         for (int i = 1; i <= 26; i++) {
             String id = String.format("wk-%06d", i);
-            int kind = r.nextInt(8);
-            int tasks = 1 + r.nextInt(kind == 0 ? 2 : 7);
-            double at = i <= 6 ? i * 0.2 : r.nextDouble() * spanS;
-            Map<String, Object> more = kind == 0
+            int jobVariant = random.nextInt(8);
+            int tasks = 1 + random.nextInt(jobVariant == 0 ? 2 : 7);
+            double atS = i <= 6 ? i * 0.2 : random.nextDouble() * spanS;
+            Map<String, Object> extraFields = jobVariant == 0
                     ? Map.of("shape", "daemon")
-                    : kind == 1
+                    : jobVariant == 1
                             ? Map.of("crew", "u")
-                            : kind == 2 ? Map.of("site", "a") : kind == 3 ? Map.of("oneZone", true) : Map.of();
-            SimulatedCluster.ControllerProcess n = w.controllers.get(r.nextInt(w.controllers.size()));
-            for (double again = 0; again < 12; again += 3) {
-                w.schedule(at + again, () -> {
-                    if (!w.acceptedJobs().contains(id)) {
-                        n.submitAsync(id, tasks, kind == 4 || kind == 5, more);
+                            : jobVariant == 2
+                                    ? Map.of("site", "a")
+                                    : jobVariant == 3 ? Map.of("oneZone", true) : Map.of();
+            SimulatedCluster.ControllerProcess process =
+                    cluster.controllers.get(random.nextInt(cluster.controllers.size()));
+            for (double retryDelayS = 0; retryDelayS < 12; retryDelayS += 3) {
+                cluster.schedule(atS + retryDelayS, () -> {
+                    if (!cluster.acceptedJobs().contains(id)) {
+                        process.submitAsync(id, tasks, jobVariant == 4 || jobVariant == 5, extraFields);
                     }
                 });
             }
-            if (r.nextInt(3) == 0) {
-                InjectedFault.scheduleCancellation(w, id, at + r.nextDouble() * 14, r.nextInt(w.controllers.size()));
+            if (random.nextInt(3) == 0) {
+                InjectedFault.scheduleCancellation(
+                        cluster, id, atS + random.nextDouble() * 14, random.nextInt(cluster.controllers.size()));
             }
         }
-        int faults = 2 + r.nextInt(3);
-        double at = 6 + r.nextDouble() * 10;
-        StringBuilder what = new StringBuilder();
-        double lastS = 0;
-        for (int i = 0; i < faults; i++) {
-            InjectedFault f = draw(r, newer, i == 0);
-            double forS =
-                    switch (r.nextInt(4)) {
-                        case 0 -> 0.1 + r.nextDouble() * 2;
-                        case 1 -> 3 + r.nextDouble() * 5;
-                        case 2 -> 9 + r.nextDouble() * 4;
-                        default -> 15 + r.nextDouble() * 35;
+        int faultCount = 2 + random.nextInt(3);
+        double atS = 6 + random.nextDouble() * 10;
+        StringBuilder description = new StringBuilder();
+        double lastEndS = 0;
+        for (int i = 0; i < faultCount; i++) {
+            InjectedFault fault = drawFault(random, withNewerFaults, i == 0);
+            double durationS =
+                    switch (random.nextInt(4)) {
+                        case 0 -> 0.1 + random.nextDouble() * 2;
+                        case 1 -> 3 + random.nextDouble() * 5;
+                        case 2 -> 9 + random.nextDouble() * 4;
+                        default -> 15 + random.nextDouble() * 35;
                     };
-            long mine = r.nextLong();
-            double start = at;
-            w.schedule(start, () -> f.inject(InjectedFault.FaultContext.of(w, forS, new SplittableRandom(mine))));
-            what.append(String.format("%s at %.2f for %.2f; ", f, at, forS));
-            lastS = Math.max(lastS, at + f.durationS(forS));
-            // The next begins before this one is over, sometimes within milliseconds.
-            at += r.nextInt(3) == 0 ? r.nextDouble() * 0.02 : r.nextDouble() * Math.min(forS, 14);
+            long faultSeed = random.nextLong();
+            double startS = atS;
+            cluster.schedule(
+                    startS,
+                    () -> fault.inject(
+                            InjectedFault.FaultContext.of(cluster, durationS, new SplittableRandom(faultSeed))));
+            description.append(String.format("%s at %.2f for %.2f; ", fault, atS, durationS));
+            lastEndS = Math.max(lastEndS, atS + fault.durationS(durationS));
+            // The next fault begins before this one ends, sometimes within milliseconds.
+            atS += random.nextInt(3) == 0 ? random.nextDouble() * 0.02 : random.nextDouble() * Math.min(durationS, 14);
         }
-        w.runFor(Math.max(spanS + 15, lastS + 3));
-        w.taskDurationS = 5;
-        for (String id : w.acceptedJobs()) {
-            if (w.services.contains(id) || w.failingJobs.contains(id)) {
-                InjectedFault.scheduleCancellation(w, id, 60, 0);
+        cluster.runFor(Math.max(spanS + 15, lastEndS + 3));
+        cluster.taskDurationS = 5;
+        for (String id : cluster.acceptedJobs()) {
+            if (cluster.services.contains(id) || cluster.failingJobs.contains(id)) {
+                InjectedFault.scheduleCancellation(cluster, id, 60, 0);
             }
         }
-        w.runUntilSettled(260);
-        assertEquals(List.of(), w.violations(), () -> "seed " + seed + ": " + what);
+        cluster.runUntilSettled(260);
+        assertEquals(List.of(), cluster.violations(), () -> "seed " + seed + ": " + description);
     }
 }
--- a/src/test/java/org/mountlug/node/ZoneLossTest.java
+++ b/src/test/java/org/mountlug/node/ZoneLossTest.java
@@ -24,25 +24,26 @@
 import org.mountlug.store.StateKeys;
 
 /**
- * Whole controllers while a zone drops off the network and returns. The simulated cluster checks the rules as it goes: no task
- * twice, none after its cancellation, none in a wrong place, one final outcome a job; {@code docs/faults.md} has a row a case.
+ * Tests whole controllers while a zone is cut off from the network and returns. The simulated cluster checks that no task runs
+ * twice, after its job's cancellation or in a wrong zone, and that each job has one final outcome. {@code docs/faults.md} has a
+ * row for each case.
  */
 class ZoneLossTest {
     private static final ZoneThresholds THRESHOLDS = new ZoneThresholds(3, 0.5, 0.8, 0.25, 0.5, 3, 4, 60, 120);
-    private static final ZoneSettings ON =
+    private static final ZoneSettings ENABLED =
             new ZoneSettings(true, List.of(), THRESHOLDS, new RampSettings(0.1, 0.1, 0.5));
-    /** A ramp slow enough that a test can do something in the middle of it. */
+    /** Settings with a ramp that is slow enough for a test to act in the middle of it. */
     private static final ZoneSettings SLOW_RAMP =
             new ZoneSettings(true, List.of(), THRESHOLDS, new RampSettings(0.05, 0.05, 1));
 
-    private static final int URGENT = 1;
+    private static final int URGENT_JOB = 1;
 
-    /** 6 machines a zone with work of two classes for all and more waiting, no machine to be had. */
-    private static ZoneScenario crowded(ZoneSettings settings) {
+    /** Starts 6 machines per zone, all full with tasks of two job classes; more tasks are pending, and rentals are refused. */
+    private static ZoneScenario createFullScenario(ZoneSettings settings) {
         ZoneScenario scenario = new ZoneScenario(3, 6, settings);
         scenario.cluster.cloud.zonesRefusingRentals.addAll(ZoneScenario.ZONES);
         scenario.cluster.taskDurationS = 24;
-        scenario.submitArray(URGENT, "proofs", "high", 10);
+        scenario.submitArray(URGENT_JOB, "proofs", "high", 10);
         scenario.submitArray(2, "parts", "standard", 60);
         scenario.submitArray(3, "parts", "standard", 60);
         assertTrue(runUntilStarted(scenario.cluster, 72));
@@ -50,47 +51,52 @@
         return scenario;
     }
 
-    /** Starts of the later class while a displaced task of the first one has waited for longer than any start takes. */
-    private static long inversions(ZoneScenario scenario, boolean urgentFirst, double cutAt) {
-        double openFrom = cutAt + scenario.cluster.workerLeaseS + 1 + ZoneScenario.START_DELAY_S;
-        double restarted = 0;
+    /**
+     * Returns the number of starts of the second class while a displaced task of the first class had been pending for longer
+     * than a start takes.
+     *
+     * @param urgentFirst whether the class of the urgent job comes first
+     */
+    private static long countInversions(ZoneScenario scenario, boolean urgentFirst, double isolatedAtS) {
+        double fromS = isolatedAtS + scenario.cluster.workerLeaseS + 1 + ZoneScenario.START_DELAY_S;
+        double lastRestartS = 0;
         for (SimulatedCluster.TaskStart start : scenario.cluster.startLog) {
-            boolean first = start.jobId().equals(jobId(URGENT)) == urgentFirst;
-            if (first && start.atS() > openFrom) {
-                restarted = Math.max(restarted, start.atS());
+            boolean isFirstClass = start.jobId().equals(jobId(URGENT_JOB)) == urgentFirst;
+            if (isFirstClass && start.atS() > fromS) {
+                lastRestartS = Math.max(lastRestartS, start.atS());
             }
         }
-        double until = restarted - ZoneScenario.START_DELAY_S;
+        double untilS = lastRestartS - ZoneScenario.START_DELAY_S;
         return scenario.cluster.startLog.stream()
-                .filter(start -> start.jobId().equals(jobId(URGENT)) != urgentFirst)
-                .filter(start -> start.atS() > openFrom && start.atS() < until)
+                .filter(start -> start.jobId().equals(jobId(URGENT_JOB)) != urgentFirst)
+                .filter(start -> start.atS() > fromS && start.atS() < untilS)
                 .count();
     }
 
-    /** Displaced work of the first class lands elsewhere before anything else; the setting decides which one is first. */
-    @ParameterizedTest(name = "displacement [{0}]")
+    /** Displaced tasks of the class that the setting puts first are restarted before all others. */
+    @ParameterizedTest(name = "displacement order [{0}]")
     @ValueSource(strings = {"", "parts"})
-    void displacedWorkLandsInOrder(String first) {
-        ZoneScenario scenario = crowded(new ZoneSettings(
-                true, first.isEmpty() ? List.of() : List.of(first), THRESHOLDS, RampSettings.defaults()));
+    void displacedWorkRestartsInOrder(String firstClass) {
+        ZoneScenario scenario = createFullScenario(new ZoneSettings(
+                true, firstClass.isEmpty() ? List.of() : List.of(firstClass), THRESHOLDS, RampSettings.defaults()));
         Map<String, List<Integer>> displaced = scenario.activeTasksByJob("a");
-        assertTrue(displaced.containsKey(jobId(URGENT)) && displaced.size() > 1, "both classes are displaced");
-        double cutAt = scenario.cluster.nowS;
+        assertTrue(displaced.containsKey(jobId(URGENT_JOB)) && displaced.size() > 1, "both classes are displaced");
+        double isolatedAtS = scenario.cluster.nowS;
         assertTrue(scenario.isolateUntilLost("a"));
         scenario.cluster.runFor(60);
-        assertEquals(0, inversions(scenario, first.isEmpty(), cutAt));
-        for (int index : displaced.get(jobId(URGENT))) {
-            double restartedAt = scenario.firstStartAfterS(jobId(URGENT), index, cutAt);
-            assertTrue(!first.isEmpty()
-                    || restartedAt < cutAt + scenario.cluster.workerLeaseS + scenario.cluster.taskDurationS);
+        assertEquals(0, countInversions(scenario, firstClass.isEmpty(), isolatedAtS));
+        for (int index : displaced.get(jobId(URGENT_JOB))) {
+            double restartedAtS = scenario.firstStartAfterS(jobId(URGENT_JOB), index, isolatedAtS);
+            assertTrue(!firstClass.isEmpty()
+                    || restartedAtS < isolatedAtS + scenario.cluster.workerLeaseS + scenario.cluster.taskDurationS);
         }
         scenario.rejoin("a");
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Starts in the returning zone stay within the window, which the leader's first look and each second let grow. */
+    /** Starts in a returning zone stay within the ramp's window, which grows with the leader's first tick and each second. */
     @Test
-    void workReturnsAtThePaceOfTheRamp() {
+    void startsInReturningZoneStayWithinTheRampWindow() {
         ZoneScenario scenario = new ZoneScenario(3, 20, SLOW_RAMP);
         scenario.cluster.taskDurationS = 30;
         scenario.submitArray(1, "parts", "standard", 400);
@@ -99,91 +105,99 @@
         scenario.cluster.runFor(20);
         assertEquals(0, scenario.countStarts("a", scenario.cluster.nowS - 20, scenario.cluster.nowS));
         assertTrue(scenario.rejoinUntilReturning("a"));
-        double from = scenario.cluster.nowS;
-        double[] windows = new double[1];
+        double fromS = scenario.cluster.nowS;
+        double[] windowSum = new double[1];
         for (int second = 1; second <= 18 && scenario.state("a") == ZoneState.RETURNING; second++) {
             scenario.cluster.runFor(1);
-            // One machine's worth at first, one more each second; each start is under way for a moment only.
-            windows[0] += 1 + second;
+            // The window begins at one machine's worth and grows by one each second; a start occupies it only briefly.
+            windowSum[0] += 1 + second;
             assertTrue(scenario.status("a").window() <= 1 + second, "window in second " + second);
             assertTrue(
-                    scenario.countStarts("a", from, scenario.cluster.nowS) <= windows[0], "starts by second " + second);
+                    scenario.countStarts("a", fromS, scenario.cluster.nowS) <= windowSum[0],
+                    "starts until second " + second);
         }
-        assertTrue(scenario.countStarts("a", from, from + 10) > 5, "work does return");
+        assertTrue(scenario.countStarts("a", fromS, fromS + 10) > 5, "tasks start in the returning zone");
         assertTrue(scenario.runUntilState(60, "a", ZoneState.PRESENT));
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Twice lost within a minute: the second time it must be heard for twice as long, and nothing is rented for it twice. */
+    /**
+     * A zone is lost twice within a minute. The second time, its machines must report for twice as long before it returns, and
+     * no second set of machines is rented.
+     */
     @Test
-    void aZoneThatFlapsIsNeitherFilledNorEmptiedTwice() {
-        ZoneScenario scenario = new ZoneScenario(3, 6, ON);
+    void flappingZoneIsNeitherReturnedNorReplacedTwice() {
+        ZoneScenario scenario = new ZoneScenario(3, 6, ENABLED);
         scenario.cluster.cloud.capacity = 40;
         scenario.cluster.cloud.zoneCapacity.clear();
         scenario.cluster.taskDurationS = 300;
         scenario.submitArray(1, "parts", "standard", 72);
         assertTrue(runUntilStarted(scenario.cluster, 72));
-        int before = scenario.cluster.machinesRented;
-        for (int flap = 1; flap <= 2; flap++) {
+        int rentedBefore = scenario.cluster.machinesRented;
+        for (int loss = 1; loss <= 2; loss++) {
             assertTrue(scenario.isolateUntilLost("a"));
             scenario.cluster.runFor(3);
             scenario.rejoin("a");
-            double joinedAt = scenario.cluster.nowS;
+            double rejoinedAtS = scenario.cluster.nowS;
             assertTrue(scenario.runUntilState(30, "a", ZoneState.RETURNING));
-            // The first word of a machine may come up to an interval and a half after it can.
-            assertTrue(scenario.cluster.nowS - joinedAt >= 4 * flap, "heard for long enough, time " + flap);
-            assertEquals(0, scenario.countStarts("a", joinedAt, scenario.cluster.nowS));
-            assertEquals(6, scenario.workersIn("a").size(), "none of the zone's machines is returned while it flaps");
+            // A machine's first report may come up to one and a half report intervals after the zone rejoins.
+            assertTrue(
+                    scenario.cluster.nowS - rejoinedAtS >= 4 * loss,
+                    "machines report for long enough after loss " + loss);
+            assertEquals(0, scenario.countStarts("a", rejoinedAtS, scenario.cluster.nowS));
+            assertEquals(6, scenario.workersIn("a").size(), "no machine of the zone is returned to the cloud");
         }
         assertEquals(2, scenario.status("a").recentLosses());
         scenario.cluster.runFor(30);
-        assertTrue(scenario.cluster.machinesRented - before <= 6, "at most as many rented as were lost");
+        assertTrue(
+                scenario.cluster.machinesRented - rentedBefore <= 6,
+                "at most as many machines are rented as were lost");
         scenario.cluster.taskDurationS = 5;
         assertSettles(scenario.cluster, 200);
     }
 
-    /** A zone that comes back while the cloud is taking some of its machines: these get nothing, and lose nothing twice. */
+    /** A zone returns while the cloud reclaims some of its machines: no task starts on them. */
     @Test
-    void returnsWhileSomeOfItsMachinesDrain() {
-        ZoneScenario scenario = crowded(ON);
-        List<SimulatedCluster.Worker> taken = scenario.workersIn("a").subList(0, 2);
-        for (SimulatedCluster.Worker worker : taken) {
+    void reclaimedMachinesOfReturningZoneGetNoStarts() {
+        ZoneScenario scenario = createFullScenario(ENABLED);
+        List<SimulatedCluster.Worker> reclaimed = scenario.workersIn("a").subList(0, 2);
+        for (SimulatedCluster.Worker worker : reclaimed) {
             worker.reclaimedAtS = scenario.cluster.nowS + 60;
             scenario.cluster.schedule(60, worker::crash);
         }
         scenario.cluster.runFor(4);
         assertTrue(scenario.isolateUntilLost("a"));
         scenario.cluster.runFor(5);
-        double joinedAt = scenario.cluster.nowS;
+        double rejoinedAtS = scenario.cluster.nowS;
         assertTrue(scenario.rejoinUntilReturning("a"));
         scenario.cluster.runFor(20);
-        List<String> names = taken.stream().map(worker -> worker.name).toList();
+        List<String> names = reclaimed.stream().map(worker -> worker.name).toList();
         assertTrue(scenario.cluster.startLog.stream()
-                .noneMatch(start -> start.atS() > joinedAt && names.contains(start.machine())));
+                .noneMatch(start -> start.atS() > rejoinedAtS && names.contains(start.machine())));
         assertSettles(scenario.cluster, 300);
     }
 
-    /** The leader is in the zone that is cut off: another one leads, finds the zone silent and goes on. */
-    @ParameterizedTest(name = "away for {0} s")
+    /** The leader is isolated together with its zone: another controller becomes leader and declares the zone lost. */
+    @ParameterizedTest(name = "isolated for {0} s")
     @ValueSource(doubles = {8, 25, 60})
-    void theLeaderSitsInTheLostZone(double awayS) {
-        ZoneScenario scenario = crowded(ON);
-        SimulatedCluster.ControllerProcess inside = scenario.cluster.leader();
-        inside.inIsolatedZone = true;
+    void leaderIsInTheLostZone(double isolatedS) {
+        ZoneScenario scenario = createFullScenario(ENABLED);
+        SimulatedCluster.ControllerProcess leader = scenario.cluster.leader();
+        leader.inIsolatedZone = true;
         scenario.isolate("a");
-        scenario.cluster.runFor(awayS);
-        if (awayS > 20) {
+        scenario.cluster.runFor(isolatedS);
+        if (isolatedS > 20) {
             assertEquals(ZoneState.LOST, scenario.state("a"));
         }
-        inside.inIsolatedZone = false;
+        leader.inIsolatedZone = false;
         scenario.rejoin("a");
         assertSettles(scenario.cluster, 300);
         assertEquals(ZoneState.PRESENT, scenario.state("a"));
     }
 
-    /** A new leader takes the ramp up where the last one left it: neither from nothing nor from full. */
+    /** A new leader continues the ramp at the stored window: it neither restarts the ramp nor skips the rest. */
     @Test
-    void theLeaderChangesTwiceInTheMiddleOfTheRamp() {
+    void rampContinuesAcrossTwoLeaderChanges() {
         ZoneScenario scenario = new ZoneScenario(3, 20, SLOW_RAMP);
         scenario.cluster.taskDurationS = 40;
         scenario.submitArray(1, "parts", "standard", 500);
@@ -193,7 +207,7 @@
         for (int change = 0; change < 2; change++) {
             scenario.cluster.runFor(4);
             double window = scenario.status("a").window();
-            assertTrue(window > 1 && window < 20, "in the middle: " + window);
+            assertTrue(window > 1 && window < 20, "in the middle of the ramp: " + window);
             SimulatedCluster.ControllerProcess leader = scenario.cluster.leader();
             long token = leader.token();
             leader.restartAfter(1);
@@ -203,16 +217,18 @@
                             && scenario.cluster.leader().token() > token
                             && scenario.status("a").window() > 0));
             assertEquals(ZoneState.RETURNING, scenario.state("a"));
-            double now = scenario.status("a").window();
-            // Written every two seconds, and every step adds one.
-            assertTrue(now >= window - 3 && now <= window + 2, "from " + window + " to " + now);
+            double windowAfterChange = scenario.status("a").window();
+            // The window is stored every two seconds, and every step of the ramp adds one.
+            assertTrue(
+                    windowAfterChange >= window - 3 && windowAfterChange <= window + 2,
+                    "window from " + window + " to " + windowAfterChange);
         }
         assertSettles(scenario.cluster, 300);
     }
 
-    /** A new leader that cannot read how the zones stood places nothing until it can. */
+    /** A new leader that cannot read the stored zone states places no task until it can. */
     @Test
-    void aNewLeaderWaitsForTheStateOfTheZones() {
+    void newLeaderStartsNothingUntilItHasReadTheZoneStates() {
         ZoneScenario scenario = new ZoneScenario(3, 20, SLOW_RAMP);
         scenario.cluster.taskDurationS = 40;
         scenario.submitArray(1, "parts", "standard", 500);
@@ -227,51 +243,51 @@
                 20,
                 () -> scenario.cluster.leader() != null
                         && scenario.cluster.leader().token() > token));
-        scenario.cluster.runFor(2); // what the last leader had decided takes effect
-        double from = scenario.cluster.nowS;
+        scenario.cluster.runFor(2); // starts that the previous leader decided take effect
+        double fromS = scenario.cluster.nowS;
         scenario.cluster.runFor(6);
-        assertEquals(0, scenario.countStarts("a", from, scenario.cluster.nowS));
+        assertEquals(0, scenario.countStarts("a", fromS, scenario.cluster.nowS));
         scenario.cluster.stateService.refusedPath = null;
         assertTrue(scenario.cluster.runUntil(10, () -> scenario.state("a") == ZoneState.RETURNING));
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Half of a lost zone comes back: it returns, and only on the machines that are heard. */
+    /** Half of a lost zone rejoins: the zone returns, with a window for the reporting machines only. */
     @Test
-    void halfOfTheZoneComesBack() {
-        ZoneScenario scenario = crowded(ON);
+    void halfOfTheZoneRejoins() {
+        ZoneScenario scenario = createFullScenario(ENABLED);
         assertTrue(scenario.isolateUntilLost("a"));
-        double joinedAt = scenario.cluster.nowS;
+        double rejoinedAtS = scenario.cluster.nowS;
         scenario.rejoin("a", 0.5);
         assertTrue(scenario.runUntilState(30, "a", ZoneState.RETURNING));
         scenario.cluster.runFor(20);
         assertTrue(scenario.status("a").window() <= 3);
-        assertTrue(scenario.countStarts("a", joinedAt, scenario.cluster.nowS) > 0);
+        assertTrue(scenario.countStarts("a", rejoinedAtS, scenario.cluster.nowS) > 0);
         scenario.rejoin("a");
         assertSettles(scenario.cluster, 300);
         assertEquals(ZoneState.PRESENT, scenario.state("a"));
     }
 
     /**
-     * Machines heard again after three leases and more were taken for ones that hear nothing, as what they had not heard
-     * while they were cut off counted, and the whole zone was returned at its first report.
+     * Machines that reported again after three or more worker leases were taken for out-of-contact machines, because commands
+     * and responses missed during the isolation counted. The whole zone was then returned to the cloud at its first report.
      */
-    @ParameterizedTest(name = "away for {0} s")
+    @ParameterizedTest(name = "isolated for {0} s")
     @ValueSource(doubles = {20, 45, 100})
-    void aZoneThatWasAwayForLongIsNotReturnedAtItsFirstReport(double awayS) {
-        ZoneScenario scenario = crowded(ON);
+    void zoneIsNotReturnedToTheCloudAfterALongIsolation(double isolatedS) {
+        ZoneScenario scenario = createFullScenario(ENABLED);
         scenario.isolate("a");
-        scenario.cluster.runFor(awayS);
+        scenario.cluster.runFor(isolatedS);
         scenario.rejoin("a");
         scenario.cluster.runFor(12);
         assertEquals(6, scenario.workersIn("a").size());
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Half of a zone cut off, however long, is a case of its own: suspect, never lost. */
+    /** A zone of which 60 % of the machines are isolated is suspect, but never lost, however long it takes. */
     @Test
-    void aPartOfAZoneIsNotCalledLost() {
-        ZoneScenario scenario = crowded(ON);
+    void partlyIsolatedZoneIsSuspectButNotLost() {
+        ZoneScenario scenario = createFullScenario(ENABLED);
         scenario.isolate("a", 0.6);
         scenario.cluster.runFor(60);
         assertEquals(ZoneState.SUSPECT, scenario.state("a"));
@@ -280,53 +296,54 @@
         assertSettles(scenario.cluster, 300);
     }
 
+    /** A second zone is lost during the first one's ramp: no task starts there, while tasks start in the first zone. */
     @Test
-    void aSecondZoneGoesWhileTheFirstReturns() {
-        ZoneScenario scenario = crowded(SLOW_RAMP);
+    void secondZoneIsLostWhileTheFirstReturns() {
+        ZoneScenario scenario = createFullScenario(SLOW_RAMP);
         assertTrue(scenario.isolateUntilLost("a"));
         assertTrue(scenario.rejoinUntilReturning("a"));
         assertTrue(scenario.isolateUntilLost("b"));
-        double from = scenario.cluster.nowS;
+        double fromS = scenario.cluster.nowS;
         scenario.cluster.runFor(20);
-        assertEquals(0, scenario.countStarts("b", from, scenario.cluster.nowS));
-        assertTrue(scenario.countStarts("a", from, scenario.cluster.nowS) > 0, "the first one is where work goes now");
+        assertEquals(0, scenario.countStarts("b", fromS, scenario.cluster.nowS));
+        assertTrue(scenario.countStarts("a", fromS, scenario.cluster.nowS) > 0, "tasks start in the first zone");
         scenario.rejoin("b");
         assertSettles(scenario.cluster, 300);
     }
 
-    /** The state service is down as the zone returns: nothing is placed meanwhile, and the ramp goes on afterwards. */
-    @ParameterizedTest(name = "from {0} s before the return, for {1} s, the leader ends {2}")
+    /** The state service is unavailable while the zone returns: no task is placed meanwhile, and the ramp goes on afterwards. */
+    @ParameterizedTest(name = "outage from {0} s before the rejoin, for {1} s after it, leader restarts {2}")
     @CsvSource({"1, 12, false", "6, 25, false", "1, 20, true"})
-    void theStateServiceIsDownAsTheZoneReturns(double beforeS, double forS, boolean leaderEnds) {
-        ZoneScenario scenario = crowded(ON);
+    void stateServiceOutageDuringTheReturn(double beforeS, double durationS, boolean leaderRestarts) {
+        ZoneScenario scenario = createFullScenario(ENABLED);
         assertTrue(scenario.isolateUntilLost("a"));
         scenario.cluster.runFor(6);
         scenario.cluster.stateService.outage = true;
         scenario.cluster.runFor(beforeS);
         scenario.rejoin("a");
-        if (leaderEnds) {
+        if (leaderRestarts) {
             scenario.cluster.leader().restartAfter(2);
         }
-        scenario.cluster.runFor(forS);
+        scenario.cluster.runFor(durationS);
         scenario.cluster.stateService.recover();
         assertSettles(scenario.cluster, 400);
         assertEquals(ZoneState.PRESENT, scenario.state("a"));
     }
 
-    /** Machines come back with sessions of before and with reports that were held up: nothing of it proves anything. */
-    @ParameterizedTest(name = "hung for {0} s of the cut, leader ends {1}")
+    /** Machines rejoin after a hang with their old sessions, while copies of their old reports arrive: neither may count. */
+    @ParameterizedTest(name = "hung for {0} s of the isolation, leader restarts {1}")
     @CsvSource({"9, false", "9, true", "30, false", "30, true"})
-    void machinesComeBackWithOldSessionsAndTasks(double hungS, boolean leaderEnds) {
-        ZoneScenario scenario = crowded(ON);
+    void machinesRejoinWithOldSessionsAndReports(double hungS, boolean leaderRestarts) {
+        ZoneScenario scenario = createFullScenario(ENABLED);
         scenario.cluster.runFor(2);
-        Map<SimulatedCluster.Worker, List<Report>> old = new HashMap<>();
+        Map<SimulatedCluster.Worker, List<Report>> oldReports = new HashMap<>();
         for (SimulatedCluster.Worker worker : scenario.workersIn("a")) {
-            old.put(worker, List.copyOf(worker.sentReports));
+            oldReports.put(worker, List.copyOf(worker.sentReports));
             worker.hungUntilS = scenario.cluster.nowS + hungS;
         }
         scenario.isolate("a");
         scenario.cluster.runFor(hungS + 6);
-        if (leaderEnds) {
+        if (leaderRestarts) {
             scenario.cluster.leader().restartAfter(3);
         }
         scenario.rejoin("a");
@@ -334,7 +351,7 @@
             scenario.cluster.runFor(0.5);
             SimulatedCluster.ControllerProcess leader = scenario.cluster.leader();
             if (leader != null) {
-                for (List<Report> reports : old.values()) {
+                for (List<Report> reports : oldReports.values()) {
                     leader.controller.handleReport(reports.get(i % reports.size()));
                 }
             }
@@ -342,20 +359,20 @@
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Jobs are cancelled while their machines are in the lost zone: gone in time, those cut off by their lease. */
-    @ParameterizedTest(name = "{0} s after the cut, leader inside {1}")
+    /** Jobs are cancelled while their zone is isolated: their tasks end in time, in the zone through the worker lease. */
+    @ParameterizedTest(name = "{0} s after the isolation, leader inside {1}")
     @CsvSource({"0.5, false", "9, false", "20, false", "0.5, true", "9, true"})
-    void jobsAreCancelledWhileTheirMachinesAreAway(double afterS, boolean leaderInside) {
-        ZoneScenario scenario = crowded(ON);
+    void jobsAreCancelledWhileTheirZoneIsIsolated(double afterS, boolean leaderInside) {
+        ZoneScenario scenario = createFullScenario(ENABLED);
         SimulatedCluster.ControllerProcess leader = scenario.cluster.leader();
         leader.inIsolatedZone = leaderInside;
         scenario.isolate("a");
         scenario.cluster.runFor(afterS);
-        SimulatedCluster.ControllerProcess outside = otherController(scenario.cluster, leader);
-        for (int job : new int[] {URGENT, 2}) {
+        SimulatedCluster.ControllerProcess otherController = otherController(scenario.cluster, leader);
+        for (int job : new int[] {URGENT_JOB, 2}) {
             assertTrue(scenario.cluster.runUntil(20, () -> {
-                Map<String, Object> answer = outside.cancel(jobId(job));
-                return answer != null && "withdrawn".equals(answer.get("status"));
+                Map<String, Object> response = otherController.cancel(jobId(job));
+                return response != null && "withdrawn".equals(response.get("status"));
             }));
         }
         scenario.cluster.runFor(SimulatedCluster.CANCEL_DEADLINE_S + 5);
@@ -364,26 +381,26 @@
         assertSettles(scenario.cluster, 300);
     }
 
-    /** The cloud refuses rentals in the other zones: what is there is used in order, and nothing is rented at the return. */
+    /** The cloud refuses rentals during the loss: displaced tasks restart in order on the remaining machines. */
     @Test
-    void theCloudRefusesRentalsElsewhere() {
-        ZoneScenario scenario = crowded(ON);
-        int before = scenario.cluster.machinesRented;
-        double cutAt = scenario.cluster.nowS;
+    void cloudRefusesRentalsDuringTheLoss() {
+        ZoneScenario scenario = createFullScenario(ENABLED);
+        int rentedBefore = scenario.cluster.machinesRented;
+        double isolatedAtS = scenario.cluster.nowS;
         scenario.isolate("a");
         scenario.cluster.runFor(40);
-        assertEquals(before, scenario.cluster.machinesRented);
-        assertEquals(0, inversions(scenario, true, cutAt));
+        assertEquals(rentedBefore, scenario.cluster.machinesRented);
+        assertEquals(0, countInversions(scenario, true, isolatedAtS));
         scenario.cluster.cloud.zonesRefusingRentals.clear();
         scenario.rejoin("a");
         assertSettles(scenario.cluster, 300);
     }
 
-    /** A leader of production's version meets the loss; one of this version takes over in its middle or at its end. */
-    @ParameterizedTest(name = "this version leads {0} s after the cut")
+    /** A leader of the production version loses the zone, and is upgraded to this version early or late in the loss. */
+    @ParameterizedTest(name = "upgrade {0} s after the isolation")
     @ValueSource(doubles = {5, 20, 45})
-    void aLeaderOfProductionMeetsTheLoss(double afterS) {
-        ZoneScenario scenario = new ZoneScenario(3, 6, ON, true);
+    void leaderOfProductionVersionIsUpgradedAfterTheLoss(double afterS) {
+        ZoneScenario scenario = new ZoneScenario(3, 6, ENABLED, true);
         scenario.cluster.taskDurationS = 24;
         scenario.submitArray(1, "parts", "standard", 150);
         assertTrue(runUntilStarted(scenario.cluster, 72));
@@ -393,50 +410,50 @@
         scenario.cluster.runFor(30 - afterS / 2);
         assertNull(
                 scenario.cluster.stateService.value(StateKeys.ZONES),
-                "not written while one controller cannot read it");
+                "zone states are not stored while one controller cannot read them");
         scenario.rejoin("a");
         scenario.cluster.controllers.stream()
-                .filter(node -> node.runsProductionVersion)
-                .forEach(node -> node.upgradeAfter(1));
+                .filter(process -> process.runsProductionVersion)
+                .forEach(process -> process.upgradeAfter(1));
         assertSettles(scenario.cluster, 400);
     }
 
-    /** The state is kept for the next leader once every controller reads it, and a leader of production ignores it. */
+    /** Zone states are stored once every controller can read them, and a leader of the production version ignores them. */
     @Test
-    void theStateIsStoredAndAnOlderLeaderIgnoresIt() {
-        ZoneScenario scenario = crowded(ON);
+    void zoneStatesAreStoredAndIgnoredByTheProductionVersion() {
+        ZoneScenario scenario = createFullScenario(ENABLED);
         assertTrue(scenario.isolateUntilLost("a"));
         scenario.cluster.runFor(3);
         assertNotNull(scenario.cluster.stateService.value(StateKeys.ZONES));
-        for (SimulatedCluster.ControllerProcess node : scenario.cluster.controllers) {
-            node.runsProductionVersion = true;
-            node.restartAfter(1);
+        for (SimulatedCluster.ControllerProcess process : scenario.cluster.controllers) {
+            process.runsProductionVersion = true;
+            process.restartAfter(1);
         }
         scenario.cluster.runFor(15);
         scenario.rejoin("a");
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Neither a storm of ending machines nor a leader that stood still, or alone hears nothing, is a lost zone. */
+    /** Terminating machines, a paused leader or a leader that no report reaches do not make a zone lost. */
     @ParameterizedTest(name = "{0}")
-    @ValueSource(strings = {"machines end", "leader stands still", "leader hears no worker"})
-    void otherTroublesAreNoLostZone(String trouble) {
-        ZoneScenario scenario = crowded(ON);
-        switch (trouble) {
-            case "machines end" ->
+    @ValueSource(strings = {"machines terminate", "leader paused", "leader cut off from workers"})
+    void otherFaultsDoNotMakeAZoneLost(String fault) {
+        ZoneScenario scenario = createFullScenario(ENABLED);
+        switch (fault) {
+            case "machines terminate" ->
                 scenario.workersIn("a")
                         .forEach(worker -> scenario.cluster.schedule(1, () -> {
                             scenario.cluster.workers.remove(worker.name);
                             worker.terminate();
                         }));
-            case "leader stands still" -> scenario.cluster.leader().pause(15);
+            case "leader paused" -> scenario.cluster.leader().pause(15);
             default -> scenario.cluster.leader().cutFromWorkers = true;
         }
         scenario.cluster.runFor(25);
-        scenario.cluster.controllers.forEach(node -> node.cutFromWorkers = false);
+        scenario.cluster.controllers.forEach(process -> process.cutFromWorkers = false);
         scenario.cluster.cloud.zonesRefusingRentals.clear();
         scenario.cluster.runFor(25);
-        if (!trouble.equals("machines end")) {
+        if (!fault.equals("machines terminate")) {
             assertTrue(scenario.statusHistory.values().stream().noneMatch(status -> status.state() == ZoneState.LOST));
         }
         assertSettles(scenario.cluster, 400);
--- a/src/test/java/org/mountlug/node/ZonePropertiesTest.java
+++ b/src/test/java/org/mountlug/node/ZonePropertiesTest.java
@@ -18,22 +18,28 @@
 import org.mountlug.core.zone.ZoneStatus;
 
 /**
- * Generated sequences of cuts, partial cuts, returns, changes of leader, outages, submissions and cancellations against whole
- * controllers in memory. The seed is fixed; a failure names its own, which {@code @Property(seed = ...)} runs again.
+ * Runs generated sequences of zone isolations, returns, leader restarts, outages, submissions and cancellations against whole
+ * controllers in memory. The seed is fixed; a failure prints the seed that repeats it with {@code @Property(seed = ...)}.
  */
 class ZonePropertiesTest {
+    /** Seconds after the last step within which all jobs must settle. */
     private static final double SETTLE_S = 400;
 
-    /** What happens, to which zone or job, and how many seconds later the next thing does. */
-    record Step(Event event, int which, int thenS) {}
+    /**
+     * An event of a sequence.
+     *
+     * @param index selects the zone, job or controller that the event affects
+     * @param delayAfterS seconds until the next event
+     */
+    record Step(Event event, int index, int delayAfterS) {}
 
     enum Event {
-        CUT,
-        CUT_A_PART,
+        ISOLATE,
+        ISOLATE_PART,
         REJOIN,
-        END_LEADER,
-        OUTAGE,
-        RECOVER,
+        RESTART_LEADER,
+        STATE_SERVICE_OUTAGE,
+        STATE_SERVICE_RECOVERY,
         SUBMIT,
         CANCEL,
         REFUSE_RENTALS
@@ -51,13 +57,14 @@
                 .ofMaxSize(14);
     }
 
-    private static final class Play {
+    /** A cluster with running jobs, to which the steps of a sequence are applied. */
+    private static final class ScenarioRun {
         private final ZoneScenario scenario = new ZoneScenario(3, 5, ZoneSettings.defaults());
         private final SimulatedCluster cluster = scenario.cluster;
-        private final Map<String, Integer> mostMachines = new HashMap<>();
-        private int jobs = 3;
+        private final Map<String, Integer> peakMachines = new HashMap<>();
+        private int lastJobNumber = 3;
 
-        Play() {
+        ScenarioRun() {
             cluster.cloud.capacity = 24;
             cluster.cloud.zoneCapacity.clear();
             cluster.taskDurationS = 15;
@@ -67,59 +74,61 @@
             cluster.runFor(8);
         }
 
-        void step(Step step) {
-            String zone = ZoneScenario.ZONES.get(step.which);
+        void apply(Step step) {
+            String zone = ZoneScenario.ZONES.get(step.index);
             switch (step.event) {
-                case CUT -> scenario.isolate(zone);
-                case CUT_A_PART -> scenario.isolate(zone, 0.6);
+                case ISOLATE -> scenario.isolate(zone);
+                case ISOLATE_PART -> scenario.isolate(zone, 0.6);
                 case REJOIN -> scenario.rejoin(zone);
-                case END_LEADER -> {
+                case RESTART_LEADER -> {
                     if (cluster.leader() != null) {
-                        cluster.leader().restartAfter(1 + step.which);
+                        cluster.leader().restartAfter(1 + step.index);
                     }
                 }
-                case OUTAGE -> cluster.stateService.outage = true;
-                case RECOVER -> recover();
+                case STATE_SERVICE_OUTAGE -> cluster.stateService.outage = true;
+                case STATE_SERVICE_RECOVERY -> endOutage();
                 case SUBMIT -> {
-                    jobs++;
-                    cluster.controllers.get(step.which).submitAsync(jobId(jobs), 3 + 5 * step.which, false, Map.of());
+                    lastJobNumber++;
+                    cluster.controllers
+                            .get(step.index)
+                            .submitAsync(jobId(lastJobNumber), 3 + 5 * step.index, false, Map.of());
                 }
                 case CANCEL -> {
-                    String job = jobId(1 + step.which);
-                    SimulatedCluster.ControllerProcess node = cluster.controllers.get(step.which);
-                    node.askAsync("abort", job, reply -> node.users.cancel(job, reply), null);
+                    String job = jobId(1 + step.index);
+                    SimulatedCluster.ControllerProcess process = cluster.controllers.get(step.index);
+                    process.askAsync("abort", job, reply -> process.users.cancel(job, reply), null);
                 }
                 case REFUSE_RENTALS -> cluster.cloud.zonesRefusingRentals.add(zone);
                 default -> throw new IllegalStateException();
             }
-            for (int second = 0; second < step.thenS; second++) {
+            for (int second = 0; second < step.delayAfterS; second++) {
                 cluster.runFor(1);
                 checkRamps();
             }
         }
 
         /**
-         * The window is bounded by the machines as of the leader's last look, which may lie back by an outage; so it is held
-         * against the most that the zone has had. The exact bound is a property of the ramp alone.
+         * Checks that no returning zone's window exceeds the most machines that the zone has had. The leader bounds the window
+         * by the machines of its last tick, which an outage may have delayed; the exact bound is tested with the ramp alone.
          */
         private void checkRamps() {
             for (String zone : ZoneScenario.ZONES) {
-                int most = mostMachines.merge(zone, scenario.workersIn(zone).size(), Math::max);
+                int peak = peakMachines.merge(zone, scenario.workersIn(zone).size(), Math::max);
                 ZoneStatus status = scenario.status(zone);
                 if (status.state() == ZoneState.RETURNING) {
-                    assertTrue(status.window() <= Math.max(1, most), zone + " admits " + status.window());
+                    assertTrue(status.window() <= Math.max(1, peak), zone + " has a window of " + status.window());
                 }
             }
         }
 
-        private void recover() {
+        private void endOutage() {
             if (cluster.stateService.outage) {
                 cluster.stateService.recover();
             }
         }
 
-        void end() {
-            recover();
+        void settle() {
+            endOutage();
             ZoneScenario.ZONES.forEach(scenario::rejoin);
             cluster.cloud.zonesRefusingRentals.clear();
             cluster.taskDurationS = 4;
@@ -128,10 +137,10 @@
     }
 
     @Property(tries = 40, seed = "20261202")
-    void nothingIsLostOrRunsTwice(@ForAll("steps") List<Step> steps) {
-        Play play = new Play();
-        steps.forEach(play::step);
-        play.end();
-        assertEquals(List.of(), play.cluster.violations());
+    void noJobIsLostAndNoTaskRunsTwice(@ForAll("steps") List<Step> steps) {
+        ScenarioRun run = new ScenarioRun();
+        steps.forEach(run::apply);
+        run.settle();
+        assertEquals(List.of(), run.cluster.violations());
     }
 }
