--- a/src/test/java/org/mountlug/node/SeededFaultsTest.java
+++ b/src/test/java/org/mountlug/node/SeededFaultsTest.java
@@ -36,7 +36,7 @@
         runSeed(seed, true);
     }
 
-    /** Draws one of the original faults, or of all; with newer faults, the first one drawn is a newer one. */
+    /** Draws an original fault; {@code withNewerFaults}, draws a newer one first and any of all faults later. */
     private static InjectedFault drawFault(SplittableRandom random, boolean withNewerFaults, boolean first) {
         int faultCount = InjectedFault.values().length;
         if (!withNewerFaults) {
--- a/src/test/java/org/mountlug/node/SimulatedCluster.java
+++ b/src/test/java/org/mountlug/node/SimulatedCluster.java
@@ -133,7 +133,7 @@
 
     private static final SubmittedJob NEVER_SUBMITTED = new SubmittedJob();
 
-    /** A job as its user submitted it, and what the responses about it have said. */
+    /** A job as its user submitted it, with the states that responses have reported. */
     private static final class SubmittedJob {
         String team = "t";
         double cpus;
@@ -143,7 +143,7 @@
         /** When a response of each rank was first sent; ranks: 0 unknown, 1 live, 2 finished. {@code NaN} if never. */
         final double[] firstResponseAtS = {Double.NaN, Double.NaN, Double.NaN};
 
-        /** {@code done} or {@code withdrawn}, as a response said; null before. */
+        /** {@code done} or {@code withdrawn}, once a response has reported it; null before. */
         String outcome;
         /** Indexes of the tasks that have completed on any machine. */
         final java.util.Set<Integer> completedTasks = new java.util.HashSet<>();
