--- a/src/main/java/org/mountlug/core/scale/MachineDrainer.java
+++ b/src/main/java/org/mountlug/core/scale/MachineDrainer.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Stops tasks that must save their checkpoint now or that cannot end before their machine is reclaimed; lets the other
-     * tasks run on, because they may end in time.
+     * Stops tasks that must save their checkpoint now or that cannot end before their machine is reclaimed, and tasks of
+     * idle priority on machines that are being vacated. The other tasks run on, because they may end in time.
      */
     void drain(double nowS) {
         for (Machine machine : cluster.machines.values()) {
@@ -54,7 +54,10 @@
         }
     }
 
-    /** Marks a replica as relocating, and stops it once another machine has free capacity for it. */
+    /**
+     * Marks a replica as relocating, and stops it once another machine has free capacity for it, or shortly before its own
+     * machine is reclaimed.
+     */
     private void relocate(Machine machine, Placement placement, double nowS) {
         placement.relocating = true;
         double remainingS = Double.isNaN(machine.reclaimAtS) ? Double.POSITIVE_INFINITY : machine.reclaimAtS - nowS;
--- a/src/main/java/org/mountlug/core/scale/PlannedMachine.java
+++ b/src/main/java/org/mountlug/core/scale/PlannedMachine.java
@@ -33,6 +33,8 @@
     /**
      * Assigns up to {@code wanted} tasks and returns how many fit within the horizon; an empty machine takes at least as
      * many as it can run at the same time.
+     *
+     * @param horizonS seconds from now within which the machine must be able to run the tasks
      */
     int assign(JobSpec spec, double expectedRunS, double horizonS, int wanted) {
         int slots = spec.request().countIn(capacity);
--- a/src/main/java/org/mountlug/core/scale/RentalPlan.java
+++ b/src/main/java/org/mountlug/core/scale/RentalPlan.java
@@ -70,8 +70,8 @@
     }
 
     /** Assigns up to {@code wanted} tasks to the planned machines and returns how many were assigned. */
-    int assign(JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly) {
-        boolean readyMachinesFull = unplaceable.covers(spec, expectedS, horizonS, cpuOnly);
+    int assign(JobSpec spec, double expectedRunS, double horizonS, int wanted, boolean cpuOnly) {
+        boolean readyMachinesFull = unplaceable.covers(spec, expectedRunS, horizonS, cpuOnly);
         int assigned = 0;
         int assignedToReady = 0;
         for (PlannedMachine machine : plannedMachines) {
@@ -81,12 +81,12 @@
             if (readyMachinesFull && machine.readyInS == 0 || !machine.allows(spec, cpuOnly)) {
                 continue;
             }
-            int added = machine.assign(spec, expectedS, horizonS, wanted - assigned);
+            int added = machine.assign(spec, expectedRunS, horizonS, wanted - assigned);
             assigned += added;
             assignedToReady += machine.readyInS == 0 ? added : 0;
         }
         if (assignedToReady == 0 && !readyMachinesFull) {
-            unplaceable.add(spec, expectedS, horizonS, cpuOnly);
+            unplaceable.add(spec, expectedRunS, horizonS, cpuOnly);
         }
         return assigned;
     }
@@ -95,15 +95,20 @@
     private record Offer(PlannedMachine machine, int count, double cost) {}
 
     /** Adds machines to rent for {@code wanted} tasks and returns how many of the tasks they can run. */
-    int rent(JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly) {
-        return rent(spec, expectedS, horizonS, wanted, cpuOnly, closedZones);
+    int rent(JobSpec spec, double expectedRunS, double horizonS, int wanted, boolean cpuOnly) {
+        return rent(spec, expectedRunS, horizonS, wanted, cpuOnly, closedZones);
     }
 
     private int rent(
-            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> excludedZones) {
+            JobSpec spec,
+            double expectedRunS,
+            double horizonS,
+            int wanted,
+            boolean cpuOnly,
+            Set<String> excludedZones) {
         int remaining = wanted;
         while (remaining > 0) {
-            Offer best = cheapestOffer(spec, expectedS, horizonS, remaining, cpuOnly, excludedZones);
+            Offer best = cheapestOffer(spec, expectedRunS, horizonS, remaining, cpuOnly, excludedZones);
             if (best == null) {
                 break;
             }
@@ -118,7 +123,7 @@
             deferrableRentalsLeft -= rentingDeferrable ? rentCount : 0;
             for (int i = 0; i < rentCount && remaining > 0; i++) {
                 PlannedMachine machine = best.machine.emptyCopy();
-                remaining -= Math.max(1, machine.assign(spec, expectedS, horizonS, remaining));
+                remaining -= Math.max(1, machine.assign(spec, expectedRunS, horizonS, remaining));
                 plannedMachines.add(machine);
             }
             machinesToRent.put(pool, alreadyRenting + rentCount);
@@ -127,7 +132,12 @@
     }
 
     private Offer cheapestOffer(
-            JobSpec spec, double expectedS, double horizonS, int wanted, boolean cpuOnly, Set<String> excludedZones) {
+            JobSpec spec,
+            double expectedRunS,
+            double horizonS,
+            int wanted,
+            boolean cpuOnly,
+            Set<String> excludedZones) {
         Offer best = null;
         for (MachineType type : cluster.types()) {
             if (!spec.canEverRunOn(type) || cpuOnly && type.capacity().gpus() > 0) {
@@ -138,8 +148,8 @@
                     continue;
                 }
                 for (boolean spot : new boolean[] {false, true}) {
-                    Offer offer =
-                            offer(spec, expectedS, horizonS, wanted, type, new CapacityPool(type.name(), zone, spot));
+                    Offer offer = offer(
+                            spec, expectedRunS, horizonS, wanted, type, new CapacityPool(type.name(), zone, spot));
                     if (offer != null && (best == null || offer.cost < best.cost)) {
                         best = offer;
                     }
@@ -150,7 +160,7 @@
     }
 
     private Offer offer(
-            JobSpec spec, double expectedS, double horizonS, int wanted, MachineType type, CapacityPool pool) {
+            JobSpec spec, double expectedRunS, double horizonS, int wanted, MachineType type, CapacityPool pool) {
         if (!spec.allows(pool.type(), pool.zone(), pool.spot())
                 || exhaustedUntilS.getOrDefault(pool, 0.0) > nowS
                 || bootHistory.isAvoided(pool, nowS)) {
@@ -158,24 +168,24 @@
         }
         double bootS = type.bootS() * bootHistory.bootTimeFactor(pool, nowS);
         PlannedMachine machine = new PlannedMachine(type, pool.zone(), pool.spot(), bootS);
-        int tasksPerMachine = machine.emptyCopy().assign(spec, expectedS, horizonS, wanted);
+        int tasksPerMachine = machine.emptyCopy().assign(spec, expectedRunS, horizonS, wanted);
         if (tasksPerMachine == 0) {
             return null;
         }
         int count = (wanted + tasksPerMachine - 1) / tasksPerMachine;
         double price =
                 type.pricePerHour(pool.spot()) * (pool.spot() ? spotRisk : 1) / (1 - bootHistory.lossRate(pool, nowS));
-        return new Offer(machine, count, count * price * (bootS + busyS(spec, expectedS, type, wanted, count)));
+        return new Offer(machine, count, count * price * (bootS + busyS(spec, expectedRunS, type, wanted, count)));
     }
 
     /** Returns the estimated seconds for which each of the machines would be busy. */
-    private static double busyS(JobSpec spec, double expectedS, MachineType type, int wanted, int count) {
+    private static double busyS(JobSpec spec, double expectedRunS, MachineType type, int wanted, int count) {
         if (spec.isService()) {
             return Constants.ASSUMED_SERVICE_RENTAL_S;
         }
         double waves =
                 Math.ceil((double) wanted / count / Math.max(1, spec.request().countIn(type.capacity())));
-        return Math.max(Constants.MIN_ESTIMATED_RENTAL_S, expectedS * waves);
+        return Math.max(Constants.MIN_ESTIMATED_RENTAL_S, expectedRunS * waves);
     }
 
     /**
--- a/src/main/java/org/mountlug/core/scale/RentalPlanner.java
+++ b/src/main/java/org/mountlug/core/scale/RentalPlanner.java
@@ -227,30 +227,30 @@
             plan.planReplicas(spec, wanted, job);
             return;
         }
-        double expectedS = cluster.expectedRunS(job);
+        double expectedRunS = cluster.expectedRunS(job);
         double horizonS = horizonS(job, nowEpochS);
         boolean cpuOnly = spec.request().gpus() == 0;
-        int remaining = wanted - plan.assign(spec, expectedS, horizonS, wanted, cpuOnly);
-        remaining -= plan.rent(spec, expectedS, horizonS, remaining, cpuOnly);
+        int remaining = wanted - plan.assign(spec, expectedRunS, horizonS, wanted, cpuOnly);
+        remaining -= plan.rent(spec, expectedRunS, horizonS, remaining, cpuOnly);
         if (remaining <= 0 || !cpuOnly) {
             return;
         }
         // All pools of CPU machines are exhausted: work that can wait is left to existing CPU machines, and the rest
         // overflows to accelerator machines.
         double overflowHorizonS = Math.max(horizonS, slackS(job, nowEpochS) * Constants.OVERFLOW_SLACK_SHARE);
-        remaining -= plan.assign(spec, expectedS, overflowHorizonS, remaining, true);
+        remaining -= plan.assign(spec, expectedRunS, overflowHorizonS, remaining, true);
         if (remaining <= 0) {
             return;
         }
         cluster.overflowJobs.add(spec.id());
-        remaining -= plan.assign(spec, expectedS, overflowHorizonS, remaining, false);
-        plan.rent(spec, expectedS, overflowHorizonS, remaining, false);
+        remaining -= plan.assign(spec, expectedRunS, overflowHorizonS, remaining, false);
+        plan.rent(spec, expectedRunS, overflowHorizonS, remaining, false);
     }
 
     /** Returns the seconds left until the job's tasks must start for the job to be done when due. */
     private double slackS(Job job, double nowEpochS) {
-        double expectedS = job.spec.isService() ? 0 : cluster.expectedRunS(job);
-        return objectives.dueEpochS(job.spec, expectedS) - nowEpochS - expectedS;
+        double expectedRunS = job.spec.isService() ? 0 : cluster.expectedRunS(job);
+        return objectives.dueEpochS(job.spec, expectedRunS) - nowEpochS - expectedRunS;
     }
 
     /** Returns the seconds within which existing machines must be able to run a job's tasks. */
--- a/src/main/java/org/mountlug/core/scale/ReturnPlanner.java
+++ b/src/main/java/org/mountlug/core/scale/ReturnPlanner.java
@@ -46,6 +46,8 @@
      * The state of the cluster that a decision on a machine depends on.
      *
      * @param spareReplicaSlots by service, how many replica slots there are beyond the expected replicas
+     * @param lateZones zones in which many machines are late with their reports, see {@link ZoneMonitor#lateZones}
+     * @param disturbedZones zones whose silent machines are kept for longer, see {@link ZoneMonitor#disturbedZones}
      * @param reservedMachines names of machines that gangs have reserved
      * @param latestIdleByType by machine type, the machine that has been idle for the shortest time
      * @param silenceTrusted whether silence shows that a machine failed, see {@link #isSilenceTrusted}
@@ -222,8 +224,8 @@
     }
 
     /**
-     * Whether returning this idle machine would leave too few slots for the expected replicas of services; if not, takes its
-     * slots off the spare ones.
+     * Whether returning this idle machine would leave too few slots for the expected replicas of services; if not, subtracts
+     * its slots from the spare ones.
      */
     private boolean isNeededForServices(Machine machine, Map<JobSpec, Integer> spareReplicaSlots) {
         for (Map.Entry<JobSpec, Integer> entry : spareReplicaSlots.entrySet()) {
--- a/src/main/java/org/mountlug/core/scale/UnplaceableDemand.java
+++ b/src/main/java/org/mountlug/core/scale/UnplaceableDemand.java
@@ -18,18 +18,18 @@
         }
     }
 
-    private record Demand(Resources request, double expectedS, double horizonS) {
+    private record Demand(Resources request, double expectedRunS, double horizonS) {
         /** Whether the other demand requests at least as much, runs at least as long and may not wait longer. */
         boolean isNoHarderThan(Demand other) {
-            return request.fitsIn(other.request) && expectedS <= other.expectedS && horizonS >= other.horizonS;
+            return request.fitsIn(other.request) && expectedRunS <= other.expectedRunS && horizonS >= other.horizonS;
         }
     }
 
     private final Map<PlacementRules, List<Demand>> unplaceable = new HashMap<>();
 
     /** Whether demand already recorded implies that none of these tasks can be taken. */
-    boolean covers(JobSpec spec, double expectedS, double horizonS, boolean cpuOnly) {
-        Demand demand = new Demand(spec.request(), expectedS, horizonS);
+    boolean covers(JobSpec spec, double expectedRunS, double horizonS, boolean cpuOnly) {
+        Demand demand = new Demand(spec.request(), expectedRunS, horizonS);
         for (Demand known : unplaceable.getOrDefault(PlacementRules.of(spec, cpuOnly), List.of())) {
             if (known.isNoHarderThan(demand)) {
                 return true;
@@ -39,8 +39,8 @@
     }
 
     /** Records that none of these tasks could be taken. */
-    void add(JobSpec spec, double expectedS, double horizonS, boolean cpuOnly) {
-        Demand demand = new Demand(spec.request(), expectedS, horizonS);
+    void add(JobSpec spec, double expectedRunS, double horizonS, boolean cpuOnly) {
+        Demand demand = new Demand(spec.request(), expectedRunS, horizonS);
         List<Demand> demands =
                 unplaceable.computeIfAbsent(PlacementRules.of(spec, cpuOnly), rules -> new ArrayList<>());
         demands.removeIf(demand::isNoHarderThan);
--- a/src/main/java/org/mountlug/core/zone/DisplacementOrder.java
+++ b/src/main/java/org/mountlug/core/zone/DisplacementOrder.java
@@ -29,7 +29,7 @@
                 .thenComparing(job -> job.spec.id());
     }
 
-    /** Returns the rank of a job's class or priority, 0 for the first; no job precedes one of a lower rank. */
+    /** Returns a job's level: the rank of its class or priority, 0 for the first. No job precedes one of a lower level. */
     public int level(Job job) {
         int classIndex = classes.indexOf(job.spec.jobClass());
         if (classIndex >= 0) {
--- a/src/main/java/org/mountlug/core/zone/FailbackPlanner.java
+++ b/src/main/java/org/mountlug/core/zone/FailbackPlanner.java
@@ -46,7 +46,7 @@
                 chosenTargets.add(target);
                 zoneByDrainingMachine.put(machine, zone);
                 machine.draining = true;
-                cluster.addEvent("vacating, its work moves back to " + zone, machine.name);
+                cluster.addEvent("vacating, its work moves back to zone " + zone, machine.name);
             }
         }
     }
--- a/src/main/java/org/mountlug/core/zone/ReturnRamp.java
+++ b/src/main/java/org/mountlug/core/zone/ReturnRamp.java
@@ -26,9 +26,9 @@
     }
 
     /** Returns a ramp at its initial window, for a zone with this number of reporting machines and these starts. */
-    static ReturnRamp start(RampSettings settings, int reporting, ZoneStarts starts) {
-        ReturnRamp ramp =
-                new ReturnRamp(settings, RampSettings.atLeastOne(settings.startShare(), reporting), reporting);
+    static ReturnRamp start(RampSettings settings, int reportingMachines, ZoneStarts starts) {
+        ReturnRamp ramp = new ReturnRamp(
+                settings, RampSettings.atLeastOne(settings.startShare(), reportingMachines), reportingMachines);
         ramp.previousStarts = starts;
         return ramp;
     }
--- a/src/main/java/org/mountlug/core/zone/SubstituteMachines.java
+++ b/src/main/java/org/mountlug/core/zone/SubstituteMachines.java
@@ -6,8 +6,8 @@
 import org.mountlug.core.cluster.Machine;
 
 /**
- * Finds substitutes: machines rented in other zones while a zone was absent. They are recognized by the time of their rental,
- * so a new leader recognizes them as well.
+ * Finds substitutes: machines rented in other zones while a zone was absent, that is suspect or lost. They are recognized by
+ * the time of their rental, so a new leader recognizes them as well.
  */
 final class SubstituteMachines {
     private final Cluster cluster;
--- a/src/main/java/org/mountlug/core/zone/ZoneCounts.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneCounts.java
@@ -19,7 +19,7 @@
         return late > Math.max(2, everReported * share);
     }
 
-    /** Whether most machines are silent. */
+    /** Whether most machines are silent; false if there are too few machines to judge the zone. */
     boolean isMostlySilent(ZoneThresholds thresholds) {
         return machines >= thresholds.minMachines() && silent > machines * thresholds.suspectShare();
     }
--- a/src/main/java/org/mountlug/core/zone/ZoneMonitor.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneMonitor.java
@@ -105,8 +105,8 @@
                 continue;
             }
             machine.zoneRestricted = limitedZones.contains(machine.zone) || !acceptsWork(machine.zone);
-            boolean absent = state(machine.zone) != ZoneState.PRESENT;
-            if (absent && cluster.silentS(machine, nowS) > leaseS) {
+            boolean notPresent = state(machine.zone) != ZoneState.PRESENT;
+            if (notPresent && cluster.silentS(machine, nowS) > leaseS) {
                 machine.resetOutOfContact(nowS);
             }
         }
