--- a/src/main/java/org/mountlug/agent/WorkerCodec.java
+++ b/src/main/java/org/mountlug/agent/WorkerCodec.java
@@ -65,7 +65,7 @@
             case "gathering" -> AttemptState.WAITING_FOR_GANG;
             case "saving" -> AttemptState.SAVING;
             case "exited" -> AttemptState.EXITED;
-            default -> AttemptState.RUNNING; // an unknown state occupies its machine like a running one
+            default -> AttemptState.RUNNING; // an attempt in an unknown state occupies its machine as well
         };
     }
 
--- a/src/main/java/org/mountlug/api/JobStatus.java
+++ b/src/main/java/org/mountlug/api/JobStatus.java
@@ -2,9 +2,9 @@
 
 /** The state of a job as it is reported to users. */
 public enum JobStatus {
-    /** The job is neither done nor cancelled, and none of its tasks runs. */
+    /** The job is neither done nor cancelled, and none of its tasks is placed on a machine. */
     PENDING,
-    /** At least one task runs. */
+    /** At least one task is placed on a machine. */
     RUNNING,
     /** All tasks are done. */
     DONE,
--- a/src/main/java/org/mountlug/api/UserRequestHandler.java
+++ b/src/main/java/org/mountlug/api/UserRequestHandler.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Refuses a request just after a long process pause, as it may have waited in its socket until its user gave up; returns whether
-     * it did.
+     * Refuses a request just after a long process pause, as it may have waited in its socket until its user gave up; returns
+     * whether the request was refused.
      */
     private boolean refuseIfShedding(Reply reply) {
         boolean shedding = controller.isSheddingRequests();
@@ -116,8 +116,9 @@
     /**
      * Responds that a job is cancelled whose record is still live. Every such response, to a cancellation, a poll or a repeated
      * submission at any controller, goes through here. The response to the cancellation itself may have been lost, so any
-     * of these may be the first that a user receives, and {@code cancel_s} counts from that first one. The cancellation is
-     * therefore recorded for the leader before the response is sent.
+     * of these may be the first that a user receives, and the time limit {@code cancel_s} within which the job's tasks must
+     * have stopped counts from that first one. The cancellation is therefore recorded for the leader before the response is
+     * sent.
      */
     private void respondCancelled(String jobId, Reply reply) {
         controller.recordCancellation(jobId);
--- a/src/main/java/org/mountlug/api/UserResponse.java
+++ b/src/main/java/org/mountlug/api/UserResponse.java
@@ -7,8 +7,12 @@
     /** The submission was accepted by this request: the job's record is durable. */
     record Accepted(String jobId) implements UserResponse {}
 
-    /** The state of an accepted job; the numbers of done and running tasks are for display only. */
-    record JobState(String jobId, JobStatus status, int doneTasks, int runningTasks) implements UserResponse {}
+    /**
+     * The state of an accepted job; the numbers of tasks are for display only.
+     *
+     * @param placedTasks number of tasks that are placed on machines
+     */
+    record JobState(String jobId, JobStatus status, int doneTasks, int placedTasks) implements UserResponse {}
 
     /** No such job was ever accepted. */
     record UnknownJob() implements UserResponse {}
--- a/src/main/java/org/mountlug/api/UserResponseCodec.java
+++ b/src/main/java/org/mountlug/api/UserResponseCodec.java
@@ -37,7 +37,7 @@
                     "nameId", jobState.jobId(),
                     "status", statusValue(jobState.status()),
                     "done", jobState.doneTasks(),
-                    "running", jobState.runningTasks());
+                    "running", jobState.placedTasks());
         }
         if (response instanceof UserResponse.Malformed malformed) {
             return Map.of("error", malformed.problem());
--- a/src/main/java/org/mountlug/peer/PeerCodec.java
+++ b/src/main/java/org/mountlug/peer/PeerCodec.java
@@ -84,8 +84,8 @@
         int truncatedFlagPosition = frame.position();
         frame.put((byte) 0).putShort((short) 0);
         int writtenIds = 0;
-        for (String cancellation : response.cancellations()) {
-            byte[] id = cancellation.getBytes(StandardCharsets.US_ASCII);
+        for (String jobId : response.cancellations()) {
+            byte[] id = jobId.getBytes(StandardCharsets.US_ASCII);
             if (id.length > MAX_ID_BYTES || frame.remaining() < id.length + 1) {
                 continue;
             }
--- a/src/main/java/org/mountlug/peer/PeerConnections.java
+++ b/src/main/java/org/mountlug/peer/PeerConnections.java
@@ -106,11 +106,13 @@
     }
 
     private void answerRequests(StreamConnection connection) {
-        // Each peer uses one connection; others of its connections may be dead without having been closed here.
+        // Each peer uses one connection; others of its connections may be dead without having been closed here. Beyond
+        // the
+        // limit, any accepted connection is closed.
         if (acceptedConnections.size() >= Constants.MAX_ACCEPTED_PER_PEER * Math.max(1, links.size())) {
-            StreamConnection oldest = acceptedConnections.iterator().next();
-            acceptedConnections.remove(oldest);
-            IoUtils.safeClose(oldest);
+            StreamConnection evicted = acceptedConnections.iterator().next();
+            acceptedConnections.remove(evicted);
+            IoUtils.safeClose(evicted);
         }
         acceptedConnections.add(connection);
         connection.setCloseListener(x -> acceptedConnections.remove(connection));
@@ -175,7 +177,10 @@
         double startedS;
         /** ID of the request in flight; 0 if there is none. */
         long awaitedRequestId;
-        /** Number of refused connections in a row; only after the first ones is the connection retried early. */
+        /**
+         * Number of refused connections in a row; after more than {@link Constants#PEER_ENDED_REFUSALS}, the next attempt
+         * waits for the next {@link #requestStatus}.
+         */
         int consecutiveRefusals;
 
         PeerLink(String label, InetSocketAddress address) {
@@ -195,16 +200,16 @@
         }
 
         void connectOrRequest() {
-            double now = clockS.getAsDouble();
+            double nowS = clockS.getAsDouble();
             if ((awaitedRequestId != 0 || pendingConnection != null)
-                    && now - startedS > Constants.PEER_TIMEOUT_MS / 1000.0) {
+                    && nowS - startedS > Constants.PEER_TIMEOUT_MS / 1000.0) {
                 close();
             }
             if (awaitedRequestId != 0 || pendingConnection != null) {
                 return;
             }
             if (connection == null || !connection.isOpen()) {
-                startedS = now;
+                startedS = nowS;
                 IoFuture<StreamConnection> connecting = ioThread.openStreamConnection(
                         address,
                         newConnection -> {
--- a/src/main/java/org/mountlug/peer/PeerView.java
+++ b/src/main/java/org/mountlug/peer/PeerView.java
@@ -9,9 +9,10 @@
 
 /**
  * Evaluates the peers' responses, without any I/O. During an outage of the state service a leader must go on renewing
- * workers' leases, or all running tasks would end; but it may do so only while every cancellation acknowledged to a user
- * is known to it up to a recent time. Each response lists the peer's recent cancellations, so they are known up to the time
- * of its request. A peer that is silent, or has restarted since, confirms nothing for the time between.
+ * workers' leases, or all running tasks would end; but it may do so only while it knows every cancellation that any
+ * controller had acknowledged to a user up to a recent time. Each response lists the peer's recent cancellations, so they are
+ * known up to the time at which the response was requested. A silent peer confirms nothing for the time since its last
+ * answered request, and a restarted one nothing for the time before the first request that it has answered since.
  */
 public final class PeerView {
     /**
@@ -153,14 +154,14 @@
         if (status != null && status.respondedS() >= refused.firstS()) {
             return false;
         }
-        int answered = 0;
+        int respondedPeers = 0;
         for (String otherPeer : peers) {
             PeerStatus otherStatus = statusByPeer.get(otherPeer);
             if (!otherPeer.equals(peer) && otherStatus != null && otherStatus.respondedS() >= refused.firstS()) {
-                answered++;
+                respondedPeers++;
             }
         }
-        return answered > 0 && answered * 2 > peers.size() - 1;
+        return respondedPeers > 0 && respondedPeers * 2 > peers.size() - 1;
     }
 
     /** Whether this peer has responded recently. */
--- a/src/main/java/org/mountlug/wire/Cbor.java
+++ b/src/main/java/org/mountlug/wire/Cbor.java
@@ -53,7 +53,7 @@
      */
     public static Object readValue(JsonParser parser, int depth) throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new IOException("value is nested too deeply");
+            throw new IOException("value is nested more than " + MAX_DEPTH + " levels deep");
         }
         JsonToken token = parser.currentToken();
         if (token == null) {
@@ -107,7 +107,7 @@
             case VALUE_NULL -> {
                 return null;
             }
-            default -> throw new IOException("unsupported type of value");
+            default -> throw new IOException("unsupported type of value: " + token);
         }
     }
 
