--- a/src/main/java/org/mountlug/cli/CdsTrainingRun.java
+++ b/src/main/java/org/mountlug/cli/CdsTrainingRun.java
@@ -86,6 +86,8 @@
 
     private static void startAndExercise(Path platformFile, Path operatorsFile)
             throws IOException, InterruptedException, Settings.InvalidSettingException {
+        // Ports: 0 for users and workers and 1 for peers of the controller, 2 of the cloud, 3 of the state service,
+        // 4 of peer "b", 5 of peer "c".
         int[] ports = findFreePorts();
         Files.writeString(
                 platformFile, PLATFORM_SETTINGS.formatted(ports[0], ports[1], ports[4], ports[5], ports[2], ports[3]));
