--- a/src/main/java/org/mountlug/Constants.java
+++ b/src/main/java/org/mountlug/Constants.java
@@ -41,7 +41,10 @@
     /** Share of the request rate limit that all users' requests may use; the rest is for the controllers' own. */
     public static final double USER_REQUEST_SHARE = 0.88;
 
-    /** Share of the request rate limit that is reserved for submissions and cancellations, ahead of polls. */
+    /**
+     * Share of the request rate limit that all controllers together reserve for submissions and cancellations, ahead
+     * of polls.
+     */
     public static final double SUBMIT_SHARE = 0.6;
 
     /** Seconds' worth of its submission rate that a controller may use in one burst; users arrive unevenly. */
@@ -83,10 +86,10 @@
      * user's cancellation.
      */
     public static final double STALE_RESERVATION_RETRY_S = 0.4;
-    /** Seconds without a transaction after the state service permanently refused one. */
-    public static final double REFUSED_TXN_PAUSE_S = 0.5;
-    /** Seconds for which a job whose write was permanently refused is not written, so that the other jobs are. */
-    public static final double REFUSED_JOB_WRITE_PAUSE_S = 15;
+    /** Seconds without a transaction after the state service permanently rejected one. */
+    public static final double REJECTED_TXN_PAUSE_S = 0.5;
+    /** Seconds for which a job whose write was permanently rejected is not written, so that the other jobs are. */
+    public static final double REJECTED_JOB_WRITE_PAUSE_S = 15;
     /** Seconds before a transaction is sent again that was not executed (rate limit, state service unavailable). */
     public static final double UNSERVED_TXN_RETRY_S = 0.4;
 
@@ -249,8 +252,9 @@
      */
     public static final int MAX_IGNORED_STARTS = 2;
     /**
-     * Seconds after which responses to the machine are withheld if a direct start is neither acknowledged nor seen in a
-     * report, so that the start can no longer take effect once the worker lease has run out.
+     * Seconds after which responses to a machine are withheld if a start that was sent directly to its worker is
+     * neither acknowledged nor seen in a report, so that the start can no longer take effect once the worker lease
+     * has run out.
      */
     public static final double UNCONFIRMED_START_S = 4;
     /** Milliseconds that a worker may take to carry out commands that were sent directly to it. */
@@ -258,14 +262,15 @@
     /** Direct commands in progress at the same time; each has a connection of its own. */
     public static final int MAX_DIRECT_COMMANDS = 48;
     /**
-     * Direct commands in progress up to which starts that are not urgent are sent directly; the remaining ones are for
-     * urgent starts.
+     * Direct commands in progress up to which starts of CPU-only array tasks are sent directly; the remaining ones
+     * are for starts that users wait for (gangs, services, accelerator jobs).
      */
     public static final int MAX_NON_URGENT_DIRECT_COMMANDS = 16;
     /** Milliseconds after a round before which no other round starts early. */
     public static final int MIN_EARLY_ROUND_DELAY_MS = 400;
     /**
-     * Worker leases for which a machine may be out of contact before it is returned; all its work has ended after one.
+     * Worker leases for which a machine may report while responses have no effect on it, before it is returned; all
+     * its work has ended after one.
      */
     public static final double OUT_OF_CONTACT_RETURN_LEASES = 3;
     /** Tasks of a job that must have run before the run time of another task counts against its machine. */
@@ -308,7 +313,7 @@
 
     /**
      * Seconds that a job within its team's guarantee waits for capacity to come free before best-effort tasks are
-     * stopped for it.
+     * stopped for it. Best-effort tasks are array tasks of idle priority of teams without a guarantee.
      */
     public static final double BEST_EFFORT_PREEMPTION_DELAY_S = 3;
 
@@ -316,20 +321,20 @@
     public static final double BEST_EFFORT_MIN_CPU_SHARE = 0.1;
 
     /**
-     * Seconds before a task's expected end from which its capacity may be assigned to a standby task: a round, a write
-     * and a report.
+     * Seconds before a task's expected end from which its capacity may be assigned to a standby task, which starts on
+     * that machine when the capacity is free: a round, a write and a report.
      */
     public static final double STANDBY_LEAD_TIME_S = 4;
     /** Seconds after which a standby task goes back to its queue. */
     public static final double MAX_STANDBY_WAIT_S = 10;
     /**
-     * Share of a CPU machine that the tasks of an overflow job must be able to fill to be placed there in their turn;
-     * other overflow jobs get CPU machines last.
+     * Share of a CPU machine that the tasks of an overflow job, a CPU-only job that may also use accelerator
+     * machines, must be able to fill to be placed there in their turn; other overflow jobs get CPU machines last.
      */
     public static final double MIN_PACKING_SHARE = 0.7;
     /** Seconds within which a machine must be expected to come free to be held for a gang. */
     public static final double MAX_GANG_HOLD_WAIT_S = 60;
-    /** Tasks of one pending accelerator job, at most, for which machines are closed to overflow. */
+    /** Tasks of one pending accelerator job, at most, for which accelerator machines are closed to overflow jobs. */
     public static final int OVERFLOW_BLOCK_TASKS = 8;
     /** Share of the accelerator machines that may be closed to overflow at the same time. */
     public static final double OVERFLOW_BLOCK_SHARE = 0.5;
@@ -472,11 +477,17 @@
      */
     public static final int NON_HEAP_MB = 80;
 
-    /** Detection and handling of lost zones; operators may override the shares and times. */
+    /**
+     * Detection and handling of lost zones; operators may override the shares and times. A zone that returns gets
+     * work under a limit on the starts in progress there, which grows step by step: the ramp.
+     */
     public static final class Zones {
         private Zones() {}
 
-        /** Machines below which a zone is not judged; two may fail independently at the same time. */
+        /**
+         * Machines below which silence says nothing about a zone; two machines may fail independently at the same
+         * time.
+         */
         public static final int LEAST_MACHINES = 3;
         /** Share of silent machines above which a zone is suspect; most of its machines do not fail independently. */
         public static final double SUSPECT_SHARE = 0.5;
@@ -539,7 +550,13 @@
         public static final double STORE_INTERVAL_S = 2;
     }
 
-    /** Admission of submissions by team weights when more arrive than the state service can accept. */
+    /**
+     * Admission of submissions by team weights when more arrive than the state service can accept. The submissions of
+     * one team and job class are a queue; a queue whose demand stays far above its rate (a flood) is limited. In a
+     * limited queue, each submission has a slot on a ring, round which a cursor moves: its turn, in which it may be
+     * admitted, comes when the cursor passes its slot. The leader plans the schedules of the cursors and publishes
+     * them as the admission table.
+     */
     public static final class Admission {
         private Admission() {}
 
@@ -583,8 +600,8 @@
         /** Share of the write rate limit for submissions while no queue is limited; the leader needs little then. */
         public static final double OPEN_SUBMISSION_SHARE = 0.6;
         /**
-         * Seconds after the state service refused a request for its rate limit in which the leader may need its whole
-         * share of writes.
+         * Seconds after the state service refused a request because of its rate limit, in which the leader may need
+         * its whole share of writes.
          */
         public static final double STATE_REFUSAL_WINDOW_S = 10;
         /** Share of the write rate limit always left to submissions: what the leader never uses, less a margin. */
@@ -647,7 +664,10 @@
         public static final double ARRIVAL_TIME_CONSTANT_S = 6;
         /** Weight of the initial estimate of the arrival rate, as a number of arrivals. */
         public static final double ARRIVAL_PRIOR_WEIGHT = 3;
-        /** Laps a second below which the speed of a restored cursor says nothing about arrivals; one in three hours. */
+        /**
+         * Laps of the ring a second below which the speed of a restored cursor says nothing about arrivals; one in
+         * three hours.
+         */
         public static final double MIN_LAPS_PER_S = 1e-4;
         /** Seconds after which users give up; from then on the number of waiting submissions does not grow. */
         public static final double USER_GIVE_UP_S = 60;
@@ -691,7 +711,10 @@
     /** Seconds that a user waits for a response, at most; the protocol's value for submissions. */
     public static final double USER_REQUEST_TIMEOUT_S = 5;
 
-    /** Seconds after a process pause in which requests are assumed to have waited in their sockets during the pause. */
+    /**
+     * Seconds after a long process pause in which users' requests are refused, because most of them arrived during
+     * the pause and their users have given up.
+     */
     public static final double SHED_AFTER_PAUSE_S = 0.5;
 
     /** Seconds without a rate-limited request after which the users' load counts as within the rate limit. */
@@ -720,7 +743,7 @@
     public static final double PEER_RESPONSE_VALID_S = 3;
     /** Refused connections in a row after which a peer's process counts as ended. */
     public static final int PEER_ENDED_REFUSALS = 2;
-    /** Milliseconds between connection attempts after a refusal; longer than a listen queue stays full. */
+    /** Milliseconds between connection attempts after a refusal; longer than a momentary overflow of a listen queue. */
     public static final int PEER_REFUSED_RETRY_MS = 250;
     /** Seconds after which a refusal is unrelated to an earlier one. */
     public static final double PEER_REFUSAL_WINDOW_S = 2.5;
--- a/src/main/java/org/mountlug/node/Controller.java
+++ b/src/main/java/org/mountlug/node/Controller.java
@@ -62,7 +62,7 @@
     /** The revision of the leader key as last seen. */
     private long lastLeaderRevision = -1;
 
-    /** Monotonic seconds at which this controller first saw that revision. */
+    /** Monotonic seconds at which this controller first saw {@link #lastLeaderRevision}. */
     private double leaderSinceS;
     /** Monotonic seconds of the last tick; a long gap after it is a pause of the whole process. */
     private double lastTickS;
@@ -156,7 +156,7 @@
     }
 
     /**
-     * Detects that the whole process was paused for seconds while its clocks ran on. Its lease may have ended
+     * Detects that the whole process was paused for seconds while its clocks ran on. The leader lease may have ended
      * meanwhile, and machines seem silent only because no report could be read. Called by the tick and before a request
      * is handled, as a request that waited in a socket may be read before the first tick.
      */
@@ -269,12 +269,12 @@
     // ---- leadership -------------------------------------------------------------------------------------------
 
     /** Returns a random campaign delay as a share of the campaign jitter; recently started controllers go first. */
-    private double randomCampaignDelay() {
+    private double randomCampaignDelayShare() {
         boolean recentlyStarted = clockS.getAsDouble() - startedS < Constants.EARLY_CAMPAIGN_UPTIME_S;
-        double part = random.nextDouble();
+        double randomShare = random.nextDouble();
         return recentlyStarted
-                ? part * Constants.EARLY_CAMPAIGN_SHARE
-                : Constants.EARLY_CAMPAIGN_SHARE + part * (1 - Constants.EARLY_CAMPAIGN_SHARE);
+                ? randomShare * Constants.EARLY_CAMPAIGN_SHARE
+                : Constants.EARLY_CAMPAIGN_SHARE + randomShare * (1 - Constants.EARLY_CAMPAIGN_SHARE);
     }
 
     /** Takes the next step of the election, and begins or ends this controller's term by its outcome. */
@@ -293,14 +293,14 @@
                                 Fields.getString(record, "nonce"),
                                 Fields.getLong(record, "hold", 0),
                                 revision,
-                                randomCampaignDelay());
+                                randomCampaignDelayShare());
                         if (leaderWatchRevision < revision) {
                             leaderWatchRevision = revision;
                         }
                     } else if (response.status() == 404) {
                         leaderWatchRevision =
                                 Math.max(leaderWatchRevision, Fields.getLong(response.body(), "epoch", 0));
-                        election.onLeaderKeyRead(clockS.getAsDouble(), null, null, 0, 0, randomCampaignDelay());
+                        election.onLeaderKeyRead(clockS.getAsDouble(), null, null, 0, 0, randomCampaignDelayShare());
                     } else {
                         election.onStepFailed(clockS.getAsDouble());
                     }
@@ -389,7 +389,7 @@
             List<Object> changes = Fields.getList(response.body(), "news");
             if (!changes.isEmpty()
                     && Fields.getString(Fields.asMap(changes.get(changes.size() - 1)), "delete") != null) {
-                election.onLeaderKeyDeleted(clockS.getAsDouble(), randomCampaignDelay());
+                election.onLeaderKeyDeleted(clockS.getAsDouble(), randomCampaignDelayShare());
             }
         });
     }
--- a/src/main/java/org/mountlug/node/ControllerServer.java
+++ b/src/main/java/org/mountlug/node/ControllerServer.java
@@ -147,9 +147,9 @@
         }
         try {
             controller.tick();
-            double now = clockS();
-            if (now >= nextPeerPollS) {
-                nextPeerPollS = now + Constants.PEER_POLL_INTERVAL_MS / 1000.0;
+            double nowS = clockS();
+            if (nowS >= nextPeerPollS) {
+                nextPeerPollS = nowS + Constants.PEER_POLL_INTERVAL_MS / 1000.0;
                 peers.requestStatus();
             }
         } catch (RuntimeException e) {
--- a/src/main/java/org/mountlug/node/DirectCommandSender.java
+++ b/src/main/java/org/mountlug/node/DirectCommandSender.java
@@ -69,7 +69,7 @@
         boolean hasReport = response.status() == 200 || response.status() == 409;
         Report report = hasReport ? WorkerCodec.readReport(response.body()) : null;
         if (report != null && report.token() > term.cluster.token()) {
-            term.depose("machine " + machine.name + " reported the newer token " + report.token());
+            term.depose("machine " + machine.name + " knows the higher token " + report.token());
         } else if (response.status() == 200) {
             if (report != null) {
                 term.cluster.recordCommandResponse(machine, report, commands, term.nowS());
--- a/src/main/java/org/mountlug/node/JobRecordWatch.java
+++ b/src/main/java/org/mountlug/node/JobRecordWatch.java
@@ -82,7 +82,8 @@
      * <ul>
      * <li>A response of the state service, after its records have been applied, advances it to the time at which the
      * request was sent and no later, however late the response arrives: a watch that stayed open during an outage of
-     * the state service proves nothing about that time. Status 410 and reloading do not advance it.</li>
+     * the state service proves nothing about that time. Status 410 (the watch cannot continue from its revision) and
+     * reloading do not advance it.</li>
      * <li>Responses of all peers without a gap ({@link org.mountlug.peer.PeerView#cancellationsKnownUntilS}) advance it
      * after the cancellations that each of them lists went through {@link #recordCancellation}.</li>
      * </ul>
--- a/src/main/java/org/mountlug/node/MachineProvisioner.java
+++ b/src/main/java/org/mountlug/node/MachineProvisioner.java
@@ -138,6 +138,7 @@
         });
     }
 
+    /** Applies the machine list to the cluster, and returns machines that failed to the cloud. */
     private void applyMachineList(List<ListedMachine> machines) {
         hasMachineList = true;
         double lagS = term.environment.settings().cloudListLagS();
--- a/src/main/java/org/mountlug/node/Metrics.java
+++ b/src/main/java/org/mountlug/node/Metrics.java
@@ -60,17 +60,21 @@
         submissions.incrementAndGet();
     }
 
-    /** Counts a user's request that was rejected for the rate limit. */
+    /** Counts a user's request that was rejected because of the rate limit. */
     public void countRateLimitedRequest() {
         rateLimitedRequests.incrementAndGet();
     }
 
-    /** Returns the number of users' requests that were rejected for the rate limit. */
+    /** Returns the number of users' requests that were rejected because of the rate limit. */
     public long rateLimitedRequestCount() {
         return rateLimitedRequests.get();
     }
 
-    /** Counts a submission that was deferred because other submissions go first; only configured teams submit. */
+    /**
+     * Counts a submission that was deferred because other submissions go first.
+     *
+     * @param team one of the teams in the settings, as no other team can submit
+     */
     public void countDeferredSubmission(String team) {
         deferredSubmissionsByTeam
                 .computeIfAbsent(team, unseen -> new AtomicLong())
@@ -92,7 +96,7 @@
         processPauses.incrementAndGet();
     }
 
-    /** Counts a request for machines that the cloud did not fulfil. */
+    /** Counts a rental that the cloud refused. */
     public void countRefusedRental() {
         refusedRentals.incrementAndGet();
     }
--- a/src/main/java/org/mountlug/node/OverloadLog.java
+++ b/src/main/java/org/mountlug/node/OverloadLog.java
@@ -16,7 +16,7 @@
     /**
      * Observes the load; to be called at each tick.
      *
-     * @param rateLimitedCount users' requests that were rejected for the rate limit so far
+     * @param rateLimitedCount users' requests that were rejected because of the rate limit so far
      */
     void observe(long rateLimitedCount, double nowS) {
         if (rateLimitedCount > lastRateLimitedCount) {
--- a/src/main/java/org/mountlug/node/RecordWriter.java
+++ b/src/main/java/org/mountlug/node/RecordWriter.java
@@ -89,8 +89,8 @@
     private int orphanedKeysInFlight;
     /** Number of following transactions that hold one job each, to find the job whose write the state service rejects. */
     private int singleJobTransactionsLeft;
-    /** By job ID: the monotonic time before which the job is not written, because the state service rejected its write. */
-    private final Map<String, Double> refusedUntilS = new HashMap<>();
+    /** By job ID, the monotonic time before which the job is not written, because the state service rejected its write. */
+    private final Map<String, Double> jobRetryNotBeforeS = new HashMap<>();
 
     private List<JobWrite> jobWritesInFlight;
     private Transaction transactionInFlight;
@@ -131,7 +131,7 @@
         nextFlushS = 0;
     }
 
-    /** Writes the changed jobs and reservations if the flush interval has passed. */
+    /** Flushes if the flush interval has passed: writes the changed jobs and reservations. */
     void tick(double nowS) {
         if (nowS >= nextFlushS) {
             nextFlushS = nowS + Constants.FLUSH_INTERVAL_MS / 1000.0;
@@ -220,14 +220,17 @@
         return true;
     }
 
-    /** Returns the jobs to write: services first, then finished jobs, then urgent changes, then the oldest changes. */
+    /**
+     * Returns the jobs to write, those first whose users wait for the write: services, then finished jobs, then urgent
+     * changes, then the oldest changes.
+     */
     private List<Job> jobsToWrite(double nowS) {
         List<Job> jobs = new ArrayList<>();
         for (Job job : term.cluster.jobs.values()) {
             if (job.isFinished() && !job.isDirty()) {
                 job.markChanged(nowS, true);
             }
-            if (nowS < refusedUntilS.getOrDefault(job.spec.id(), 0.0)) {
+            if (nowS < jobRetryNotBeforeS.getOrDefault(job.spec.id(), 0.0)) {
                 continue;
             }
             if (job.isDirty() && (job.writeUrgent || nowS - job.dirtySinceS > Constants.LAZY_FLUSH_DELAY_MS / 1000.0)) {
@@ -308,7 +311,7 @@
                         "state service rejected a transaction with writes of {} jobs: {}",
                         jobWritesInFlight.size(),
                         response.body());
-                handleRefusal(nowS);
+                handleRejection(nowS);
                 if (outcomeUncertain) { // an earlier copy may have been executed before the limits were lowered
                     awaitingStateService = true;
                     readBackRecords(new ArrayDeque<>(jobWritesInFlight));
@@ -400,19 +403,19 @@
      * for a while, so that it does not block the others; if it held more, each job is tried in a transaction of its own.
      * A rejection does not mean that there is a new leader: only the leader key and the watch show that.
      */
-    private void handleRefusal(double nowS) {
-        retryNotBeforeS = nowS + Constants.REFUSED_TXN_PAUSE_S;
+    private void handleRejection(double nowS) {
+        retryNotBeforeS = nowS + Constants.REJECTED_TXN_PAUSE_S;
         boolean hasOtherWrites = reservationWriter.isWriteInFlight() || orphanedKeysInFlight > 0;
         if (jobWritesInFlight.size() > 1 || !jobWritesInFlight.isEmpty() && hasOtherWrites) {
             singleJobTransactionsLeft = Math.max(singleJobTransactionsLeft, jobWritesInFlight.size());
         } else if (jobWritesInFlight.size() == 1) {
             Job job = jobWritesInFlight.get(0).job;
-            refusedUntilS.put(job.spec.id(), nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
+            jobRetryNotBeforeS.put(job.spec.id(), nowS + Constants.REJECTED_JOB_WRITE_PAUSE_S);
             if (!outcomeUncertain) {
-                term.cluster.dropUnpersistedPlacements(job, nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S);
+                term.cluster.dropUnpersistedPlacements(job, nowS + Constants.REJECTED_JOB_WRITE_PAUSE_S);
             }
         } else {
-            reservationWriter.recordRefusal(nowS);
+            reservationWriter.recordRejection(nowS);
             orphanedKeys.clear(); // the next leader finds these keys again when it loads the records
         }
     }
@@ -425,7 +428,7 @@
         awaitingStateService = true;
         ArrayDeque<JobWrite> remaining = new ArrayDeque<>(jobWritesInFlight);
         if (reservationWriter.isWriteInFlight()) {
-            // By then the watch has shown the jobs' records.
+            // The watch shows the jobs' current records during this pause.
             retryNotBeforeS = nowS + Constants.STALE_RESERVATION_RETRY_S;
             reservationWriter.reload(() -> readBackRecords(remaining));
         } else {
@@ -462,8 +465,8 @@
     }
 
     /**
-     * Reads the final record of the first remaining job, whose live record is gone. Only the final record shows the outcome,
-     * which this term need not have written: while the state service did not serve this controller, another leader may have
+     * Reads the final record of the first remaining job, whose live record is gone. Only the final record shows the outcome.
+     * This term need not have written it: while the state service was unavailable to this controller, another leader may have
      * finished the job with a cancellation that is not known here.
      */
     private void readFinalRecord(ArrayDeque<JobWrite> remaining) {
--- a/src/main/java/org/mountlug/node/ReservationWriter.java
+++ b/src/main/java/org/mountlug/node/ReservationWriter.java
@@ -114,8 +114,8 @@
     }
 
     /** Stops writing reservations for a while: the state service rejected a transaction that held no job. */
-    void recordRefusal(double nowS) {
-        retryNotBeforeS = nowS + Constants.REFUSED_JOB_WRITE_PAUSE_S;
+    void recordRejection(double nowS) {
+        retryNotBeforeS = nowS + Constants.REJECTED_JOB_WRITE_PAUSE_S;
     }
 
     /**
--- a/src/main/java/org/mountlug/node/StoredReportCounts.java
+++ b/src/main/java/org/mountlug/node/StoredReportCounts.java
@@ -23,7 +23,7 @@
     /** The fencing token of the term in which the numbers were last read. */
     private long lastReadToken = -1;
 
-    private boolean callInProgress;
+    private boolean callInFlight;
     private double nextCallS;
     private int peerReports;
     private double lastReadS = Double.NEGATIVE_INFINITY;
@@ -38,10 +38,10 @@
      * lead any more.
      */
     void write(int reports, long leaderToken, double nowS) {
-        if (callInProgress || nowS < nextCallS) {
+        if (callInFlight || nowS < nextCallS) {
             return;
         }
-        callInProgress = true;
+        callInFlight = true;
         nextCallS = nowS + Constants.STORED_COUNTS_INTERVAL_S;
         Map<String, Object> value = new LinkedHashMap<>();
         value.put("n", (long) reports);
@@ -49,18 +49,18 @@
         Transaction transaction = new Transaction()
                 .requireRevision(StateKeys.LEADER, leaderToken)
                 .put(StateKeys.REPORT_COUNTS + label, value);
-        state.commit(transaction, response -> callInProgress = false);
+        state.commit(transaction, response -> callInFlight = false);
     }
 
     /** Reads the numbers that the other controllers have written during the term with this token. */
     void read(long token, double nowS) {
-        if (callInProgress || nowS < nextCallS) {
+        if (callInFlight || nowS < nextCallS) {
             return;
         }
-        callInProgress = true;
+        callInFlight = true;
         nextCallS = nowS + Constants.STORED_COUNTS_INTERVAL_S + Constants.STORED_COUNTS_MARGIN_S;
         state.list(StateKeys.REPORT_COUNTS, null, response -> {
-            callInProgress = false;
+            callInFlight = false;
             if (response.status() != 200) {
                 return;
             }
--- a/src/main/java/org/mountlug/node/ZoneStateStore.java
+++ b/src/main/java/org/mountlug/node/ZoneStateStore.java
@@ -32,7 +32,11 @@
     private boolean writeInFlight;
     private double nextWriteS;
 
-    /** The part of a zone's state whose change causes a write. */
+    /**
+     * The part of a zone's state whose change causes a write.
+     *
+     * @param window the limit on the starts in progress in a returning zone
+     */
     private record StoredZone(String zone, String state, int recentLosses, int maxSilentMachines, long window) {
         static List<StoredZone> of(List<ZoneSnapshot> snapshots) {
             return snapshots.stream()
