--- a/src/main/java/org/mountlug/Constants.java
+++ b/src/main/java/org/mountlug/Constants.java
@@ -230,7 +230,8 @@
      */
     public static final double REPLICA_SILENCE_MIN_TERM_S = 16;
     /**
-     * Seconds left to a machine at which its replicas are stopped, whether or not there is capacity for them elsewhere.
+     * Seconds before the cloud reclaims a machine at which its replicas are stopped, whether or not there is capacity
+     * for them elsewhere.
      */
     public static final double REPLICA_FORCED_STOP_S = 2;
     /** Seconds of lost work that stopping a replica counts as; all users of the service miss it. */
@@ -340,7 +341,10 @@
     public static final double OVERFLOW_BLOCK_SHARE = 0.5;
     /** Seconds for which a machine stays closed to overflow; short tasks need about as long to complete. */
     public static final double OVERFLOW_BLOCK_S = 30;
-    /** Share of its slack that a job may wait for CPU machines before it overflows to accelerator machines. */
+    /**
+     * Share of its slack (the seconds until its tasks must start for it to be done when due) that a job may wait for
+     * CPU machines before it overflows to accelerator machines.
+     */
     public static final double OVERFLOW_SLACK_SHARE = 0.75;
 
     // ---- machines ---------------------------------------------------------------------------------------------
--- a/src/main/java/org/mountlug/node/ControllerServer.java
+++ b/src/main/java/org/mountlug/node/ControllerServer.java
@@ -112,7 +112,11 @@
                 controller::handlePeerResponse,
                 controller::recordPeerRefusal);
         peers.listen(settings.clusterListenAddress());
-        LOG.info("{} listens on {}: {}", settings.label(), settings.listenAddress(), String.join("; ", sizingNotes));
+        LOG.info(
+                "controller {} listens on {}: {}",
+                settings.label(),
+                settings.listenAddress(),
+                String.join("; ", sizingNotes));
         ioThread.execute(this::tick);
     }
 
--- a/src/main/java/org/mountlug/node/RecordWriter.java
+++ b/src/main/java/org/mountlug/node/RecordWriter.java
@@ -167,13 +167,13 @@
         if (!term.isLeaseHeld(nowS)) {
             return;
         }
-        int txnOps = term.environment.settings().txnOps();
-        int maxWrites = (int) Math.min(txnOps, Math.floor(writeRateLimit.available(nowS) + 1e-9));
+        int maxOpsPerTransaction = term.environment.settings().txnOps();
+        int maxWrites = (int) Math.min(maxOpsPerTransaction, Math.floor(writeRateLimit.available(nowS) + 1e-9));
         if (maxWrites < 1) {
             return;
         }
         TransactionDraft draft = new TransactionDraft(term.newFencedTransaction(), maxWrites);
-        if (!addWrites(draft, txnOps, nowS) || draft.writeCount == 0) {
+        if (!addWrites(draft, maxOpsPerTransaction, nowS) || draft.writeCount == 0) {
             return;
         }
         writeRateLimit.tryAcquire(nowS, draft.writeCount);
@@ -187,7 +187,7 @@
      * Adds writes up to the limits of the draft. Returns false if the first job needs more writes than the rate limit
      * allows now, so that nothing may be sent until it allows them.
      */
-    private boolean addWrites(TransactionDraft draft, int txnOps, double nowS) {
+    private boolean addWrites(TransactionDraft draft, int maxOpsPerTransaction, double nowS) {
         List<Job> jobs = jobsToWrite(nowS);
         boolean singleJob = singleJobTransactionsLeft > 0;
         if (singleJob && !jobs.isEmpty()) {
@@ -204,7 +204,7 @@
                 if (draft.writeCount > 0) {
                     break;
                 }
-                if (txnOps >= minWrites) {
+                if (maxOpsPerTransaction >= minWrites) {
                     return false;
                 }
             }
--- a/src/main/java/org/mountlug/node/StoredReportCounts.java
+++ b/src/main/java/org/mountlug/node/StoredReportCounts.java
@@ -10,10 +10,10 @@
 import org.mountlug.wire.Fields;
 
 /**
- * Tells the leader through the state service how many workers' reports the other controllers receive, where they cannot
- * reach it directly. A follower that receives reports and cannot reach the leader writes their number; a leader that
- * receives none reads it. A number counts only if it was written during this term and again since the last read, so
- * that an old or delayed write has no effect.
+ * Informs the leader through the state service how many workers' reports the other controllers receive, where they
+ * cannot reach the leader directly. A follower that receives reports and cannot reach the leader writes their number; a
+ * leader that receives hardly any reads the numbers. A number counts only if it was written during this term and again
+ * since the last read, so that an old or delayed write has no effect.
  */
 final class StoredReportCounts {
     private final StateClient state;
@@ -37,14 +37,14 @@
      * Writes the number of reports that this follower received. The write fails if the leader with this token does not
      * lead any more.
      */
-    void write(int reports, long leaderToken, double nowS) {
+    void write(int reportCount, long leaderToken, double nowS) {
         if (callInFlight || nowS < nextCallS) {
             return;
         }
         callInFlight = true;
         nextCallS = nowS + Constants.STORED_COUNTS_INTERVAL_S;
         Map<String, Object> value = new LinkedHashMap<>();
-        value.put("n", (long) reports);
+        value.put("n", (long) reportCount);
         value.put("t", leaderToken);
         Transaction transaction = new Transaction()
                 .requireRevision(StateKeys.LEADER, leaderToken)
