--- a/src/main/java/org/mountlug/core/admit/AdmissionGate.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionGate.java
@@ -7,9 +7,9 @@
 /**
  * Decides submissions at one controller by the table that the leader has published. In a limited queue a submission is
  * considered only during its turn, a time that every controller computes alike from the queue's
- * {@link CursorSchedule}. Token buckets keep this controller within
- * its part of the writes per second, both before the leader has learned of a flood and whenever more submissions have
- * their turn at the same time than the capacity allows.
+ * {@link CursorSchedule}. Token buckets keep this controller within its part of the writes per second, both before the
+ * leader has learned of a flood and whenever more submissions have their turn at the same time than the capacity
+ * allows.
  */
 public final class AdmissionGate {
     /**
--- a/src/main/java/org/mountlug/settings/Settings.java
+++ b/src/main/java/org/mountlug/settings/Settings.java
@@ -19,7 +19,8 @@
  * versions that cannot read records split into smaller ones.
  *
  * @param maxClockSkewMs the most by which a controller's clock differs from the true time
- * @param cancelWithinS seconds within which the tasks of a cancelled job must have ended
+ * @param cancelWithinS seconds after the first acknowledgement of a cancellation by which the job's tasks must have
+ *     ended
  * @param stateRps requests per second that the state service accepts from all controllers together
  * @param stateWriteRps writes per second that the state service accepts
  * @param txnOps writes that one transaction may have
--- a/src/main/java/org/mountlug/store/JobRecordCodec.java
+++ b/src/main/java/org/mountlug/store/JobRecordCodec.java
@@ -24,7 +24,7 @@
  * record remains the point of serialisation: each write of a part also writes the main record, and so fails if that
  * write conflicts.
  *
- * <p>Versions before parts, which are those released before records were split, know only the main record, so parts
+ * <p>Versions before parts, which are those released before record parts existed, know only the main record, so parts
  * are written only when no controller runs such a version. A field of a record that these versions do not know is lost
  * when they write the record back. {@code docs/design.md} lists what is compatible.
  */
@@ -59,7 +59,7 @@
     // ---- specification ----------------------------------------------------------------------------------------
 
     /** Returns the specification as it is stored in a record. */
-    public static Map<String, Object> spec(JobSpec spec) {
+    public static Map<String, Object> writeSpec(JobSpec spec) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("l", spec.jobClass());
         fields.put("t", spec.team());
@@ -96,7 +96,7 @@
         return fields;
     }
 
-    private static JobSpec spec(String jobId, Map<String, Object> fields) {
+    private static JobSpec readSpec(String jobId, Map<String, Object> fields) {
         double expectedRunS = Fields.getDouble(fields, "e", 1);
         JobType jobType =
                 Fields.getBoolean(fields, "g") ? JobType.GANG : expectedRunS < 0 ? JobType.SERVICE : JobType.ARRAY;
@@ -132,13 +132,13 @@
      * tasks are and however they end.
      */
     public static boolean fits(JobSpec spec, int maxChars) {
-        return Json.length(spec(spec)) + RECORD_OVERHEAD_CHARS <= maxChars;
+        return Json.length(writeSpec(spec)) + RECORD_OVERHEAD_CHARS <= maxChars;
     }
 
     /** Returns the record of a job that has just been submitted. */
     public static Map<String, Object> newRecord(JobSpec spec) {
         Map<String, Object> record = new LinkedHashMap<>();
-        record.put("s", spec(spec));
+        record.put("s", writeSpec(spec));
         record.put("w", "");
         return record;
     }
@@ -167,7 +167,7 @@
         double charsPerTask =
                 Integer.toString(spec.tasks()).length() + machineNameChars + TASK_OVERHEAD_CHARS + 1 / 6.0;
         int mainRecordTasks =
-                (int) Math.floor((maxChars - RECORD_OVERHEAD_CHARS - Json.length(spec(spec))) / charsPerTask);
+                (int) Math.floor((maxChars - RECORD_OVERHEAD_CHARS - Json.length(writeSpec(spec))) / charsPerTask);
         int tasksPerPart = (int) Math.floor((maxChars - PART_OVERHEAD_CHARS) / charsPerTask);
         return new PartLayout(Math.max(0, mainRecordTasks), Math.max(1, tasksPerPart));
     }
@@ -175,7 +175,7 @@
     /** Returns a job's main record. */
     public static Map<String, Object> write(Job job, String writeId) {
         Map<String, Object> record = new LinkedHashMap<>();
-        record.put("s", spec(job.storedSpec));
+        record.put("s", writeSpec(job.storedSpec));
         record.put("w", writeId);
         if (job.cancelled) {
             record.put(CANCELLED, true);
@@ -287,9 +287,9 @@
                 text.append(' ');
             }
             text.append(first.machine, prefix.length(), first.machine.length());
-            int zone = zones.indexOf(first.zone);
-            if (zone != 0 || first.session != 1) {
-                text.append('!').append(zone);
+            int zoneNumber = zones.indexOf(first.zone);
+            if (zoneNumber != 0 || first.session != 1) {
+                text.append('!').append(zoneNumber);
             }
             if (first.session != 1) {
                 text.append('!').append(first.session);
@@ -418,7 +418,7 @@
 
     /** Reads a live job from its main record. */
     public static Job read(String jobId, Map<String, Object> record, long revision, double nowS) {
-        Job job = new Job(spec(jobId, Fields.asMap(record.get("s"))));
+        Job job = new Job(readSpec(jobId, Fields.asMap(record.get("s"))));
         job.revision = revision;
         job.writeId = Fields.getString(record, "w", "");
         job.cancelled = isCancelled(record);
--- a/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
+++ b/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
@@ -365,8 +365,8 @@
     }
 
     /**
-     * Invalid requests get the same status codes during a fault as without one, or 503, and nothing of them is stored; what
-     * was accepted stays accepted.
+     * Invalid requests get the same status codes during a fault as without one, 503 or no response, and nothing of them is
+     * stored; what was accepted stays accepted.
      */
     @ParameterizedTest(name = "{0}")
     @ValueSource(strings = {"new leader", "leader refused", "outage", "lost responses", "delayed writes"})
@@ -422,7 +422,7 @@
 
     private static void assertCodeIn(Map<String, Object> response, int... expectedCodes) {
         if (response == null) {
-            return; // the process of the controller has stopped
+            return; // the controller is down or did not respond in time
         }
         for (int code : expectedCodes) {
             if ((int) response.get("code") == code) {
