--- a/src/test/java/org/mountlug/node/MixedBuildsCheck.java
+++ b/src/test/java/org/mountlug/node/MixedBuildsCheck.java
@@ -126,13 +126,13 @@
         setTaskDuration(LONG_TASK_S);
         submitArray(1, cancelledJob);
         awaitAllTasksRunning(cancelledJob, ARRAY_TASKS);
-        cancel(2, cancelledJob);
         submitArray(0, array);
         submitGang(1, gang);
         submitService(2, service);
         awaitAllTasksRunning(array, ARRAY_TASKS);
         awaitAllTasksRunning(gang, GANG_TASKS);
         awaitAllTasksRunning(service, REPLICAS);
+        cancel(2, cancelledJob); // last, so that its record may still be live when the controllers end
 
         for (int controller = 0; controller < CONTROLLERS; controller++) {
             cluster.stopController(controller);
