--- a/src/main/java/org/mountlug/Constants.java
+++ b/src/main/java/org/mountlug/Constants.java
@@ -91,7 +91,7 @@
     /** Seconds for which a job whose write was permanently rejected is not written, so that the other jobs are. */
     public static final double REJECTED_JOB_WRITE_PAUSE_S = 15;
     /** Seconds before a transaction is sent again that was not executed (rate limit, state service unavailable). */
-    public static final double UNSERVED_TXN_RETRY_S = 0.4;
+    public static final double UNAVAILABLE_TXN_RETRY_S = 0.4;
 
     /** Seconds before a transaction that got no response is sent again, unchanged. */
     public static final double UNANSWERED_TXN_RETRY_S = 0.3;
@@ -195,7 +195,7 @@
      * Seconds of waiting in which a service is placed only on machines where it is not late, and on accelerator
      * machines only if it needs accelerators.
      */
-    public static final double CHEAP_FIRST_S = 1.2;
+    public static final double CPU_MACHINES_FIRST_S = 1.2;
     /** Share of the fetch time that is assumed to remain when another task on the machine has the same image. */
     public static final double SHARED_FETCH_SHARE = 0.6;
     /**
@@ -261,7 +261,7 @@
     /** Milliseconds that a worker may take to carry out commands that were sent directly to it. */
     public static final int COMMAND_TIMEOUT_MS = 2500;
     /** Direct commands in progress at the same time; each has a connection of its own. */
-    public static final int MAX_DIRECT_COMMANDS = 48;
+    public static final int MAX_DIRECT_COMMANDS_IN_FLIGHT = 48;
     /**
      * Direct commands in progress up to which starts of CPU-only array tasks are sent directly; the remaining ones
      * are for starts that users wait for (gangs, services, accelerator jobs).
@@ -363,7 +363,7 @@
     /** Milliseconds that a call to the cloud may take. */
     public static final int CLOUD_TIMEOUT_MS = 4000;
     /** Seconds before the machine types are read again after a failed read. */
-    public static final double CATALOGUE_RETRY_S = 3;
+    public static final double MACHINE_TYPES_RETRY_S = 3;
 
     /** Milliseconds before rentals that wait for the cloud's rate limit are tried again. */
     public static final int RENTAL_RATE_LIMIT_RETRY_MS = 250;
@@ -446,7 +446,7 @@
      */
     public static final int MAX_RENTALS_PER_POOL = 4;
     /** Rental requests in progress at the same time. */
-    public static final int MAX_OPEN_RENTALS = 3;
+    public static final int MAX_RENTALS_IN_FLIGHT = 3;
     /** Seconds' worth of calls that the cloud accepts at once. */
     public static final double CLOUD_BURST_S = 2;
     /** Machines in one rental. */
@@ -492,7 +492,7 @@
          * Machines below which silence says nothing about a zone; two machines may fail independently at the same
          * time.
          */
-        public static final int LEAST_MACHINES = 3;
+        public static final int MIN_MACHINES = 3;
         /** Share of silent machines above which a zone is suspect; most of its machines do not fail independently. */
         public static final double SUSPECT_SHARE = 0.5;
         /**
@@ -517,9 +517,9 @@
         /**
          * Seconds to which repeated losses lengthen {@link #RETURN_AFTER_S} at most; about as long as a network cut.
          */
-        public static final double RETURN_AFTER_MOST_S = 60;
-        /** Seconds without a loss after which one earlier loss is forgotten; twice {@link #RETURN_AFTER_MOST_S}. */
-        public static final double CALM_S = 120;
+        public static final double MAX_RETURN_AFTER_S = 60;
+        /** Seconds without a loss after which one earlier loss is forgotten; twice {@link #MAX_RETURN_AFTER_S}. */
+        public static final double LOSS_EXPIRY_S = 120;
         /** Starts that may be in progress at first in a returning zone, as a share of its reporting machines. */
         public static final double RAMP_START_SHARE = 0.2;
         /**
@@ -528,11 +528,11 @@
          */
         public static final double RAMP_GROW_SHARE = 0.1;
         /** Share of a returning zone's machines that may fetch images at the same time. */
-        public static final double DOWNLOADS_SHARE = 0.5;
+        public static final double IMAGE_FETCH_SHARE = 0.5;
         /** Seconds between two steps of the ramp: a round. */
         public static final double RAMP_STEP_S = 1;
         /** Share of late machines above which the ramp is lowered; more than are late independently. */
-        public static final double RAMP_QUIET_SHARE = 0.1;
+        public static final double MAX_LATE_SHARE_IN_RAMP = 0.1;
         /** Reports to peers, as a share of the silent machines, above which the silence is not the zone's. */
         public static final double PEER_REPORT_SHARE = 0.5;
         /** Share of a lost zone's machines that is replaced at once for work that is not urgent. */
@@ -602,12 +602,12 @@
         /** Milliseconds between two openings of the watch; a table is published once a second. */
         public static final int WATCH_PAUSE_MS = 200;
         /** Share of the write rate limit for submissions while no queue is limited; the leader needs little then. */
-        public static final double OPEN_SUBMISSION_SHARE = 0.6;
+        public static final double UNLIMITED_QUEUES_SUBMISSION_SHARE = 0.6;
         /**
          * Seconds after the state service refused a request because of its rate limit, in which the leader may need
          * its whole share of writes.
          */
-        public static final double STATE_REFUSAL_WINDOW_S = 10;
+        public static final double STATE_RATE_LIMIT_WINDOW_S = 10;
         /** Share of the write rate limit always left to submissions: what the leader never uses, less a margin. */
         public static final double MIN_SUBMISSION_SHARE = 0.23;
         /**
--- a/src/main/java/org/mountlug/agent/WorkerCodec.java
+++ b/src/main/java/org/mountlug/agent/WorkerCodec.java
@@ -92,7 +92,7 @@
     }
 
     /** Returns the body of a message with direct commands, which only this session of the worker accepts. */
-    public static Map<String, Object> writeCommand(long token, long session, List<Command> commands) {
+    public static Map<String, Object> writeDirectCommands(long token, long session, List<Command> commands) {
         Map<String, Object> message = new LinkedHashMap<>();
         message.put("baton", token);
         message.put("stint", session);
--- a/src/main/java/org/mountlug/api/HttpApi.java
+++ b/src/main/java/org/mountlug/api/HttpApi.java
@@ -103,7 +103,7 @@
         if (response instanceof UserResponse.RateLimited) {
             controller.metrics().countRateLimitedRequest();
         } else if (status == 503) {
-            controller.metrics().countUnservedRequest();
+            controller.metrics().countUnavailableResponse();
         }
         int retryAfterS = UserResponseCodec.retryAfterS(response);
         if (retryAfterS > 0) {
--- a/src/main/java/org/mountlug/api/SubmissionValidator.java
+++ b/src/main/java/org/mountlug/api/SubmissionValidator.java
@@ -80,7 +80,7 @@
             throw new RejectedSubmissionException(new UserResponse.Unschedulable(unschedulableReason));
         }
         JobSpec storableSpec =
-                JobRecordCodec.fits(spec, maxRecordChars) ? spec : spec.withKnownMachineTypes(machineTypes.keySet());
+                JobRecordCodec.fits(spec, maxRecordChars) ? spec : spec.withOfferedMachineTypes(machineTypes.keySet());
         if (!JobRecordCodec.fits(storableSpec, maxRecordChars)) {
             throw malformed("description too long for the state service's limit");
         }
--- a/src/main/java/org/mountlug/core/admit/AdmissionGate.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionGate.java
@@ -174,10 +174,10 @@
      * guaranteed minimum, unless the state service has rejected requests recently.
      */
     private double unlimitedRatePerS(double nowS) {
-        boolean rateLimitedRecently = nowS - rateLimitedAtS < Constants.Admission.STATE_REFUSAL_WINDOW_S;
+        boolean rateLimitedRecently = nowS - rateLimitedAtS < Constants.Admission.STATE_RATE_LIMIT_WINDOW_S;
         double share = rateLimitedRecently
                 ? Constants.Admission.MIN_SUBMISSION_SHARE
-                : Constants.Admission.OPEN_SUBMISSION_SHARE;
+                : Constants.Admission.UNLIMITED_QUEUES_SUBMISSION_SHARE;
         return deployment.writesPerS() * share / deployment.controllerCount();
     }
 
--- a/src/main/java/org/mountlug/core/allocate/Allocator.java
+++ b/src/main/java/org/mountlug/core/allocate/Allocator.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns the resources that each team uses; after {@link #allocate} they include this round's placements. */
-    public Map<String, Resources> usage() {
+    public Map<String, Resources> usageByTeam() {
         return round.usageByTeam;
     }
 
--- a/src/main/java/org/mountlug/core/allocate/ReplicaStartTimes.java
+++ b/src/main/java/org/mountlug/core/allocate/ReplicaStartTimes.java
@@ -45,6 +45,6 @@
      * accelerator machine.
      */
     public boolean mayWaitForBetterMachine(Job job) {
-        return nowS - job.waitingSinceS < Constants.CHEAP_FIRST_S;
+        return nowS - job.waitingSinceS < Constants.CPU_MACHINES_FIRST_S;
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/Cluster.java
+++ b/src/main/java/org/mountlug/core/cluster/Cluster.java
@@ -253,7 +253,7 @@
         }
         for (Machine machine : machines.values()) {
             for (Report.AttemptStatus orphan : machine.orphans.values()) {
-                Job job = jobs.get(orphan.job());
+                Job job = jobs.get(orphan.jobId());
                 if (job != null) {
                     usage.merge(job.spec.team(), job.spec.request(), Resources::plus);
                 }
@@ -447,10 +447,11 @@
      * stops, which free capacity that other work waits for, and starts of gangs, services and accelerator tasks.
      *
      * @param mayStart whether start commands may be sent; otherwise only cancelled jobs' tasks are stopped
-     * @param allStarts whether starts of all other tasks are sent directly, too
+     * @param nonUrgentStartsAllowed whether starts of all other tasks are sent directly, too
      */
-    public List<Command> takeDirectCommands(Machine machine, boolean mayStart, boolean allStarts, double nowS) {
-        return commandHandler.takeDirectCommands(machine, mayStart, allStarts, nowS);
+    public List<Command> takeDirectCommands(
+            Machine machine, boolean mayStart, boolean nonUrgentStartsAllowed, double nowS) {
+        return commandHandler.takeDirectCommands(machine, mayStart, nonUrgentStartsAllowed, nowS);
     }
 
     /** Records that the worker did not execute these commands and never will. */
--- a/src/main/java/org/mountlug/core/cluster/CommandHandler.java
+++ b/src/main/java/org/mountlug/core/cluster/CommandHandler.java
@@ -26,9 +26,10 @@
      * stops, which free capacity that other work waits for, and starts of gangs, services and accelerator tasks.
      *
      * @param mayStart whether start commands may be sent; otherwise only cancelled jobs' tasks are stopped
-     * @param allStarts whether starts of all other tasks are sent directly, too, as capacity is idle until the next report
+     * @param nonUrgentStartsAllowed whether starts of all other tasks are sent directly, too, as capacity is
+     *     idle until the next report
      */
-    List<Command> takeDirectCommands(Machine machine, boolean mayStart, boolean allStarts, double nowS) {
+    List<Command> takeDirectCommands(Machine machine, boolean mayStart, boolean nonUrgentStartsAllowed, double nowS) {
         if (!machine.tokenConfirmed || machine.unreachable || machine.address == null) {
             return List.of();
         }
@@ -47,7 +48,7 @@
                         Command.Verb.STOP, placement.taskName(), placement.attempt, placement.gracePeriodS));
             } else if (mayStart
                     && canSendStart(machine, placement)
-                    && (allStarts
+                    && (nonUrgentStartsAllowed
                             || placement.job.spec.isGang()
                             || placement.job.spec.isService()
                             || placement.job.spec.request().gpus() > 0)) {
@@ -120,7 +121,7 @@
         machine.sequence = report.sequence();
         machine.lastReportS = nowS;
         for (Report.AttemptStatus status : report.attempts()) {
-            Placement placement = machine.placements.get(status.job() + "/" + status.task());
+            Placement placement = machine.placements.get(status.jobId() + "/" + status.task());
             if (placement == null || placement.attempt != status.attempt()) {
                 continue;
             }
@@ -128,7 +129,7 @@
                     machine,
                     placement,
                     status,
-                    Machine.attemptKey(status.job(), status.task(), status.attempt()),
+                    Machine.attemptKey(status.jobId(), status.task(), status.attempt()),
                     nowS);
         }
     }
--- a/src/main/java/org/mountlug/core/cluster/FleetStatus.java
+++ b/src/main/java/org/mountlug/core/cluster/FleetStatus.java
@@ -4,8 +4,8 @@
  * Counts of the leader's jobs and machines by state, for operators.
  *
  * @param silent machines that have reported, but not within the last worker lease
- * @param lostTasks attempts that have ended without a result in this term
- * @param failedTasks attempts that have failed in this term
+ * @param lostAttempts attempts that have ended without a result in this term
+ * @param failedAttempts attempts that have failed in this term
  */
 public record FleetStatus(
         int liveJobs,
@@ -14,5 +14,5 @@
         int booting,
         int silent,
         int quarantined,
-        long lostTasks,
-        long failedTasks) {}
+        long lostAttempts,
+        long failedAttempts) {}
--- a/src/main/java/org/mountlug/core/cluster/Machine.java
+++ b/src/main/java/org/mountlug/core/cluster/Machine.java
@@ -158,7 +158,7 @@
     }
 
     /** Whether this leader rented the machine and has not recorded its boot time. */
-    public boolean awaitingBoot() {
+    public boolean isAwaitingBoot() {
         return awaitingBoot;
     }
 
--- a/src/main/java/org/mountlug/core/cluster/ReportHandler.java
+++ b/src/main/java/org/mountlug/core/cluster/ReportHandler.java
@@ -117,7 +117,7 @@
     private List<Command> stopCommandsForCancelledJobs(Machine machine, Report report) {
         List<Command> commands = new ArrayList<>();
         for (Report.AttemptStatus status : report.attempts()) {
-            Placement placement = machine.placements.get(status.job() + "/" + status.task());
+            Placement placement = machine.placements.get(status.jobId() + "/" + status.task());
             if (placement == null
                     || placement.attempt != status.attempt()
                     || !placement.job.cancelled
@@ -152,7 +152,7 @@
         List<Command> commands = new ArrayList<>();
         Map<String, Report.AttemptStatus> reportedAttempts = new HashMap<>();
         for (Report.AttemptStatus status : report.attempts()) {
-            reportedAttempts.put(Machine.attemptKey(status.job(), status.task(), status.attempt()), status);
+            reportedAttempts.put(Machine.attemptKey(status.jobId(), status.task(), status.attempt()), status);
         }
         machine.orphans.clear();
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
@@ -173,8 +173,8 @@
             }
         }
         for (Report.AttemptStatus status : report.attempts()) {
-            String attemptKey = Machine.attemptKey(status.job(), status.task(), status.attempt());
-            String taskName = status.job() + "/" + status.task();
+            String attemptKey = Machine.attemptKey(status.jobId(), status.task(), status.attempt());
+            String taskName = status.jobId() + "/" + status.task();
             if (status.state() == AttemptState.EXITED) {
                 Machine.ExitedAttempt exited = machine.exitedAttempts.get(attemptKey);
                 // If the worker forgot the attempt too early, a repeated start could run it again, or its result could
@@ -182,7 +182,7 @@
                 if (machine.unconfirmedStarts.contains(attemptKey)) {
                     continue;
                 }
-                if (exited == null || exited.isDurable() || cluster.jobs.get(status.job()) != exited.job()) {
+                if (exited == null || exited.isDurable() || cluster.jobs.get(status.jobId()) != exited.job()) {
                     machine.exitedAttempts.remove(attemptKey);
                     commands.add(new Command(Command.Verb.FORGET, taskName, status.attempt(), 0));
                 }
--- a/src/main/java/org/mountlug/core/model/JobSpec.java
+++ b/src/main/java/org/mountlug/core/model/JobSpec.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns this specification without the machine types that the cloud does not offer. */
-    public JobSpec withKnownMachineTypes(Collection<String> knownTypes) {
+    public JobSpec withOfferedMachineTypes(Collection<String> knownTypes) {
         if (machineTypes == null) {
             return this;
         }
--- a/src/main/java/org/mountlug/core/model/Report.java
+++ b/src/main/java/org/mountlug/core/model/Report.java
@@ -28,11 +28,11 @@
     /**
      * The state of one attempt on the machine.
      *
-     * @param job the id of the job
+     * @param jobId the id of the job
      * @param saved whether the task saved its state before it exited
      */
     public record AttemptStatus(
-            String job, int task, long attempt, AttemptState state, ExitCause cause, boolean saved) {}
+            String jobId, int task, long attempt, AttemptState state, ExitCause cause, boolean saved) {}
 
     /** Whether this report was made after the report with the given session and sequence. */
     public boolean isNewerThan(long otherSession, long otherSequence) {
--- a/src/main/java/org/mountlug/core/scale/BootHistory.java
+++ b/src/main/java/org/mountlug/core/scale/BootHistory.java
@@ -52,7 +52,7 @@
             CapacityPool pool = CapacityPool.of(machine);
             if (machine.takeBootCompleted()) {
                 recordBoot(pool, machine, nowS);
-            } else if (machine.awaitingBoot() && !machine.hasBooted() && !machine.beingReturned) {
+            } else if (machine.isAwaitingBoot() && !machine.hasBooted() && !machine.beingReturned) {
                 int[] counts = bootingCounts.computeIfAbsent(pool, k -> new int[2]);
                 counts[0]++;
                 counts[1] += isOverdue(machine, nowS) ? 1 : 0;
--- a/src/main/java/org/mountlug/core/scale/RentalPlanner.java
+++ b/src/main/java/org/mountlug/core/scale/RentalPlanner.java
@@ -32,7 +32,7 @@
     private final ZoneMonitor zones;
     private final ServiceDemand services;
     private final Map<CapacityPool, Double> exhaustedUntilS = new HashMap<>();
-    /** Pools that the cloud refused to rent from and that have not served a rental since. */
+    /** Pools that the cloud refused to rent from and that have not fulfilled a rental since. */
     private final Set<CapacityPool> reportedExhausted = new HashSet<>();
 
     private long requestCounter;
@@ -61,7 +61,7 @@
     }
 
     /** Records that the cloud rented all requested machines; returns whether the pool had been recorded as refused. */
-    boolean recordServed(RentalRequest rental) {
+    boolean recordFulfilled(RentalRequest rental) {
         return reportedExhausted.remove(rental.pool());
     }
 
--- a/src/main/java/org/mountlug/core/scale/Scaler.java
+++ b/src/main/java/org/mountlug/core/scale/Scaler.java
@@ -40,8 +40,8 @@
     }
 
     /** Records that the cloud rented all requested machines; returns whether the pool had been recorded as refused. */
-    public boolean recordServed(RentalRequest rental) {
-        return rentalPlanner.recordServed(rental);
+    public boolean recordFulfilled(RentalRequest rental) {
+        return rentalPlanner.recordFulfilled(rental);
     }
 
     /** Returns the rental requests to send now. */
--- a/src/main/java/org/mountlug/core/zone/RampSettings.java
+++ b/src/main/java/org/mountlug/core/zone/RampSettings.java
@@ -13,7 +13,7 @@
     /** Returns the values that apply without a setting. */
     public static RampSettings defaults() {
         return new RampSettings(
-                Constants.Zones.RAMP_START_SHARE, Constants.Zones.RAMP_GROW_SHARE, Constants.Zones.DOWNLOADS_SHARE);
+                Constants.Zones.RAMP_START_SHARE, Constants.Zones.RAMP_GROW_SHARE, Constants.Zones.IMAGE_FETCH_SHARE);
     }
 
     /** Returns this share of the machines, rounded up and at least 1. */
--- a/src/main/java/org/mountlug/core/zone/ReturnRamp.java
+++ b/src/main/java/org/mountlug/core/zone/ReturnRamp.java
@@ -56,7 +56,7 @@
 
     private boolean hasFailures(ZoneCounts counts, ZoneStarts starts) {
         boolean startLost = previousStarts != null && starts.lost() > previousStarts.lost();
-        return startLost || counts.hasManyLate(Constants.Zones.RAMP_QUIET_SHARE);
+        return startLost || counts.hasManyLate(Constants.Zones.MAX_LATE_SHARE_IN_RAMP);
     }
 
     /** Whether starts succeeded since the last step, or none is in progress. */
--- a/src/main/java/org/mountlug/core/zone/ZoneMonitor.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneMonitor.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether zones are tracked. */
-    public boolean enabled() {
+    public boolean isEnabled() {
         return settings.enabled();
     }
 
--- a/src/main/java/org/mountlug/core/zone/ZoneThresholds.java
+++ b/src/main/java/org/mountlug/core/zone/ZoneThresholds.java
@@ -28,14 +28,14 @@
     /** Returns the values that apply without a setting. */
     public static ZoneThresholds defaults() {
         return new ZoneThresholds(
-                Constants.Zones.LEAST_MACHINES,
+                Constants.Zones.MIN_MACHINES,
                 Constants.Zones.SUSPECT_SHARE,
                 Constants.Zones.LOST_SHARE,
                 Constants.Zones.CLEAR_SHARE,
                 Constants.Zones.RETURN_SHARE,
                 Constants.Zones.LOST_AFTER_S,
                 Constants.Zones.RETURN_AFTER_S,
-                Constants.Zones.RETURN_AFTER_MOST_S,
-                Constants.Zones.CALM_S);
+                Constants.Zones.MAX_RETURN_AFTER_S,
+                Constants.Zones.LOSS_EXPIRY_S);
     }
 }
--- a/src/main/java/org/mountlug/node/AdmissionPublisher.java
+++ b/src/main/java/org/mountlug/node/AdmissionPublisher.java
@@ -55,7 +55,7 @@
         capacity = new AdmissionCapacity(writesPerS, writesPerS * Constants.LEADER_WRITE_SHARE);
         enabled = term.environment.operators().admission().enabled();
         planner = new AdmissionPlanner(
-                FairShareAdmission.weights(settings, term.environment.operators()),
+                FairShareAdmission.teamWeights(settings, term.environment.operators()),
                 settings.peers().size() + 1);
     }
 
@@ -86,7 +86,7 @@
 
     /** Whether the last outage of the state service is long enough ago for clients to have retried. */
     private boolean hasRecoveredFromOutage(double nowS) {
-        if (!term.environment.state().isServed()) {
+        if (!term.environment.state().isAvailable()) {
             lastUnavailableS = nowS;
         }
         return nowS - lastUnavailableS > Constants.Admission.OUTAGE_RECOVERY_S;
--- a/src/main/java/org/mountlug/node/Controller.java
+++ b/src/main/java/org/mountlug/node/Controller.java
@@ -115,8 +115,8 @@
     }
 
     /** Returns the number of machines that have reported and are not known to be gone; 0 for a follower. */
-    int upMachineCount() {
-        return leader == null ? 0 : leader.upMachineCount();
+    int reportedMachineCount() {
+        return leader == null ? 0 : leader.reportedMachineCount();
     }
 
     /** Returns the status of each zone; empty for a follower. */
@@ -214,7 +214,7 @@
                 || reportCounter.recentCount(nowS) > peerReportCount * Constants.ISOLATION_OWN_REPORT_SHARE) {
             return false;
         }
-        return peerReportCount >= leader.upMachineCount() * Constants.ISOLATION_PEER_REPORT_SHARE;
+        return peerReportCount >= leader.reportedMachineCount() * Constants.ISOLATION_PEER_REPORT_SHARE;
     }
 
     /**
@@ -259,8 +259,8 @@
                 storedCounts.write(recentReports, election.leaderKeyRevision(), nowS);
             }
         } else if (canJudgeIsolation(nowS)
-                && recentReports <= leader.upMachineCount() * Constants.ISOLATION_OWN_REPORT_SHARE
-                && leader.upMachineCount() >= Constants.ISOLATION_MIN_REPORTS
+                && recentReports <= leader.reportedMachineCount() * Constants.ISOLATION_OWN_REPORT_SHARE
+                && leader.reportedMachineCount() >= Constants.ISOLATION_MIN_REPORTS
                 && !peerView.haveAllRespondedRecently(nowS)) {
             storedCounts.read(election.token(), nowS);
         }
@@ -402,7 +402,7 @@
         return new PeerCodec.StatusResponse(
                 serial,
                 incarnation,
-                state.isServed(),
+                state.isAvailable(),
                 knownToken(),
                 reportCounter.recentCount(nowS),
                 false,
@@ -434,7 +434,7 @@
                 label,
                 timedResponse.response().incarnation(),
                 timedResponse.response().demand());
-        JobRecordWatch records = leader.records();
+        JobRecordWatch records = leader.recordWatch();
         for (String id : timedResponse.response().cancellations()) {
             records.recordCancellation(id);
         }
@@ -454,7 +454,7 @@
     public void recordCancellation(String id) {
         peerView.recordCancellation(id, clockS.getAsDouble());
         if (leader != null) {
-            leader.records().recordCancellation(id);
+            leader.recordWatch().recordCancellation(id);
         }
     }
 
@@ -470,7 +470,7 @@
             return;
         }
         fetchingMachineTypes = true;
-        state.get(StateKeys.CATALOGUE, Constants.STATE_TIMEOUT_MS, response -> {
+        state.get(StateKeys.MACHINE_TYPES, Constants.STATE_TIMEOUT_MS, response -> {
             if (response.status() == 200) {
                 applyMachineTypes(
                         CloudCodec.readMachineTypes(Fields.asMap(response.body().get("v"))));
@@ -592,7 +592,7 @@
         // for all controllers they are not.
         double nowS = clockS.getAsDouble();
         boolean stateUnavailable =
-                !state.isServed() && nowS - state.lastServedS() > Constants.UNHEALTHY_AFTER_MS / 1000.0;
+                !state.isAvailable() && nowS - state.lastAvailableS() > Constants.UNHEALTHY_AFTER_MS / 1000.0;
         return !(stateUnavailable && peerView.isStateAvailableToAnyPeer(nowS));
     }
 }
--- a/src/main/java/org/mountlug/node/DirectCommandSender.java
+++ b/src/main/java/org/mountlug/node/DirectCommandSender.java
@@ -33,7 +33,7 @@
             if (machine.placements.isEmpty() || machinesWithCommandsInFlight.contains(machine.name)) {
                 continue;
             }
-            if (machinesWithCommandsInFlight.size() >= Constants.MAX_DIRECT_COMMANDS) {
+            if (machinesWithCommandsInFlight.size() >= Constants.MAX_DIRECT_COMMANDS_IN_FLIGHT) {
                 return;
             }
             boolean nonUrgentStartsAllowed =
@@ -54,7 +54,7 @@
                 .call(
                         Methods.POST,
                         "/commands",
-                        WorkerCodec.writeCommand(term.cluster.token(), session, commands),
+                        WorkerCodec.writeDirectCommands(term.cluster.token(), session, commands),
                         Constants.COMMAND_TIMEOUT_MS,
                         response -> {
                             machinesWithCommandsInFlight.remove(machine.name);
--- a/src/main/java/org/mountlug/node/FairShareAdmission.java
+++ b/src/main/java/org/mountlug/node/FairShareAdmission.java
@@ -25,7 +25,7 @@
         state = environment.state();
         Settings settings = environment.settings();
         AdmissionGate.Deployment deployment = new AdmissionGate.Deployment(
-                weights(settings, environment.operators()),
+                teamWeights(settings, environment.operators()),
                 settings.peers().size() + 1,
                 settings.stateWriteRps(),
                 settings.maxClockSkewMs());
@@ -34,7 +34,7 @@
     }
 
     /** Returns the weight of each team's queue, as operators set it. */
-    static Map<String, Double> weights(Settings settings, OperatorSettings operators) {
+    static Map<String, Double> teamWeights(Settings settings, OperatorSettings operators) {
         Map<String, Double> weights = new HashMap<>();
         for (Team team : settings.teams()) {
             weights.put(team.name(), operators.teamWeight(team.name()));
--- a/src/main/java/org/mountlug/node/Leader.java
+++ b/src/main/java/org/mountlug/node/Leader.java
@@ -131,7 +131,7 @@
     }
 
     /** Returns the number of machines that have reported and have not disappeared from the machine list. */
-    int upMachineCount() {
+    int reportedMachineCount() {
         int count = 0;
         for (Machine machine : cluster.machines.values()) {
             count += machine.hasReported && !machine.unlisted ? 1 : 0;
@@ -148,7 +148,7 @@
         return cluster;
     }
 
-    JobRecordWatch records() {
+    JobRecordWatch recordWatch() {
         return recordWatch;
     }
 
@@ -325,7 +325,7 @@
                 nowS);
         metrics.countPlacedTasks(allocator.allocate());
         preemptor.preemptFor(
-                unplacedJobs(epochS), allocator.machineViews(), allocator.usage(), replicaStartTimes, nowS);
+                unplacedJobs(epochS), allocator.machineViews(), allocator.usageByTeam(), replicaStartTimes, nowS);
         machineProvisioner.rentAndReturn(nowS, epochS);
         logEvents(cluster.takeEvents());
         zoneMonitor.takeTransitions().forEach(line -> LOG.info("{}", line));
--- a/src/main/java/org/mountlug/node/MachineProvisioner.java
+++ b/src/main/java/org/mountlug/node/MachineProvisioner.java
@@ -92,7 +92,7 @@
                 return;
             }
             if (response.status() != 200) {
-                nextMachineTypesS = term.nowS() + Constants.CATALOGUE_RETRY_S;
+                nextMachineTypesS = term.nowS() + Constants.MACHINE_TYPES_RETRY_S;
                 return;
             }
             boolean firstTime = term.cluster.types().isEmpty();
@@ -116,7 +116,7 @@
         term.environment
                 .state()
                 .commit(
-                        term.newFencedTransaction().put(StateKeys.CATALOGUE, value),
+                        term.newFencedTransaction().put(StateKeys.MACHINE_TYPES, value),
                         response -> machineTypesStored = response.status() == 200);
     }
 
@@ -154,7 +154,7 @@
     }
 
     private void sendPendingRentals() {
-        while (!term.hasEnded() && rentalsInFlight < Constants.MAX_OPEN_RENTALS && !pendingRentals.isEmpty()) {
+        while (!term.hasEnded() && rentalsInFlight < Constants.MAX_RENTALS_IN_FLIGHT && !pendingRentals.isEmpty()) {
             if (!rentalRateLimit.tryAcquire(term.nowS(), 1)) {
                 scheduleRentalRetry();
                 return;
@@ -206,7 +206,7 @@
         setCloudUnavailable(false);
         if (names.size() < rental.count()) {
             recordExhaustedPool(rental, nowS);
-        } else if (scaler.recordServed(rental)) {
+        } else if (scaler.recordFulfilled(rental)) {
             LOG.info("capacity pool {} has machines again", rental.pool());
         }
     }
--- a/src/main/java/org/mountlug/node/Metrics.java
+++ b/src/main/java/org/mountlug/node/Metrics.java
@@ -81,8 +81,8 @@
                 .incrementAndGet();
     }
 
-    /** Counts a user's request that could not be served. */
-    public void countUnservedRequest() {
+    /** Counts a response with status 503 (unavailable) to a user. */
+    public void countUnavailableResponse() {
         unservedRequests.incrementAndGet();
     }
 
@@ -141,8 +141,8 @@
             registerGauge("mountlug.machines.booting", FleetStatus::booting);
             registerGauge("mountlug.machines.silent", FleetStatus::silent);
             registerGauge("mountlug.machines.quarantined", FleetStatus::quarantined);
-            registerGauge("mountlug.term.tasks.lost", FleetStatus::lostTasks);
-            registerGauge("mountlug.term.tasks.failed", FleetStatus::failedTasks);
+            registerGauge("mountlug.term.tasks.lost", FleetStatus::lostAttempts);
+            registerGauge("mountlug.term.tasks.failed", FleetStatus::failedAttempts);
             Gauge.builder("mountlug.reservations", reservations, AtomicInteger::get)
                     .register(registry);
             zoneStateGauge = MultiGauge.builder("mountlug.zone.state").register(registry);
--- a/src/main/java/org/mountlug/node/RecordSplitter.java
+++ b/src/main/java/org/mountlug/node/RecordSplitter.java
@@ -50,7 +50,7 @@
     boolean mustSplit(Job job) {
         return partsAllowed
                 && !job.isSplit()
-                && job.spec.tasks() > partLayout(job).ownTasks();
+                && job.spec.tasks() > partLayout(job).mainRecordTasks();
     }
 
     private JobRecordCodec.PartLayout partLayout(Job job) {
@@ -67,9 +67,9 @@
             for (MachineType type : term.cluster.types()) {
                 knownTypes.add(type.name());
             }
-            job.storedSpec = job.storedSpec.withKnownMachineTypes(knownTypes);
+            job.storedSpec = job.storedSpec.withOfferedMachineTypes(knownTypes);
         }
         JobRecordCodec.PartLayout layout = partLayout(job);
-        job.splitIntoParts(layout.ownTasks(), layout.tasksPerPart(), nowS);
+        job.splitIntoParts(layout.mainRecordTasks(), layout.tasksPerPart(), nowS);
     }
 }
--- a/src/main/java/org/mountlug/node/RecordWriter.java
+++ b/src/main/java/org/mountlug/node/RecordWriter.java
@@ -323,7 +323,7 @@
                 if (!outcomeUncertain) {
                     clearTransaction(); // it was not executed, and its jobs are still marked as changed
                 }
-                retryNotBeforeS = nowS + Constants.UNSERVED_TXN_RETRY_S;
+                retryNotBeforeS = nowS + Constants.UNAVAILABLE_TXN_RETRY_S;
             }
             default -> {
                 // The transaction may have been executed or may still be. Only sending it again unchanged gives a
--- a/src/main/java/org/mountlug/node/ZoneStateStore.java
+++ b/src/main/java/org/mountlug/node/ZoneStateStore.java
@@ -55,7 +55,7 @@
         this.writeRateLimit = writeRateLimit;
         this.zoneMonitor = zoneMonitor;
         this.versions = versions;
-        restored = !zoneMonitor.enabled();
+        restored = !zoneMonitor.isEnabled();
         if (!restored) {
             load();
         }
@@ -94,7 +94,7 @@
 
     /** Writes the zones' state if it has changed and the last write is long enough ago. */
     void tick(double nowS) {
-        if (!restored || !zoneMonitor.enabled() || writeInFlight || nowS < nextWriteS || !versions.allReadZones()) {
+        if (!restored || !zoneMonitor.isEnabled() || writeInFlight || nowS < nextWriteS || !versions.allReadZones()) {
             return;
         }
         List<ZoneSnapshot> snapshots = zoneMonitor.snapshots(nowS);
--- a/src/main/java/org/mountlug/settings/ControllerSizing.java
+++ b/src/main/java/org/mountlug/settings/ControllerSizing.java
@@ -16,7 +16,7 @@
         return Constants.STATE_CONNECTIONS
                 + Constants.WATCH_CONNECTIONS
                 + Constants.CLOUD_CONNECTIONS
-                + Constants.MAX_DIRECT_COMMANDS
+                + Constants.MAX_DIRECT_COMMANDS_IN_FLIGHT
                 + settings.peers().size() * (1 + Constants.MAX_ACCEPTED_PER_PEER)
                 + Constants.USER_CONNECTIONS;
     }
--- a/src/main/java/org/mountlug/store/JobRecordCodec.java
+++ b/src/main/java/org/mountlug/store/JobRecordCodec.java
@@ -156,7 +156,7 @@
     }
 
     /** The number of tasks that a job's main record holds, and the number that each part holds. */
-    public record PartLayout(int ownTasks, int tasksPerPart) {}
+    public record PartLayout(int mainRecordTasks, int tasksPerPart) {}
 
     /**
      * Returns the layout with which no record of a job exceeds {@code maxChars}, wherever its tasks are and however
--- a/src/main/java/org/mountlug/store/StateClient.java
+++ b/src/main/java/org/mountlug/store/StateClient.java
@@ -29,7 +29,7 @@
      * Monotonic seconds at which the last request was sent to which the state service responded with neither 429 nor
      * 503.
      */
-    private volatile double lastServedS = Double.NEGATIVE_INFINITY;
+    private volatile double lastAvailableS = Double.NEGATIVE_INFINITY;
 
     /** Monotonic seconds at which the last request was sent that got no response or 503. */
     private volatile double lastUnavailableS = Double.NEGATIVE_INFINITY;
@@ -83,8 +83,8 @@
      * Returns the monotonic seconds at which the last request was sent to which the state service responded with
      * neither 429 nor 503.
      */
-    public double lastServedS() {
-        return lastServedS;
+    public double lastAvailableS() {
+        return lastAvailableS;
     }
 
     /**
@@ -97,10 +97,10 @@
 
     /**
      * Whether the state service is available: no request that got 503 or no response was sent after the one at
-     * {@link #lastServedS}.
+     * {@link #lastAvailableS}.
      */
-    public boolean isServed() {
-        return lastServedS >= lastUnavailableS;
+    public boolean isAvailable() {
+        return lastAvailableS >= lastUnavailableS;
     }
 
     private Consumer<PooledHttpClient.Response> recordingAvailability(Consumer<PooledHttpClient.Response> onResponse) {
@@ -111,7 +111,7 @@
             } else if (response.status() == 429) {
                 lastRateLimitedS = Math.max(lastRateLimitedS, sentS);
             } else {
-                lastServedS = Math.max(lastServedS, sentS);
+                lastAvailableS = Math.max(lastAvailableS, sentS);
             }
             onResponse.accept(response);
         };
--- a/src/main/java/org/mountlug/store/StateKeys.java
+++ b/src/main/java/org/mountlug/store/StateKeys.java
@@ -16,7 +16,7 @@
     /** Reservations of gangs, by job. */
     public static final String RESERVATIONS = "r/";
     /** The machine types, for controllers that start while the cloud is down. */
-    public static final String CATALOGUE = "catalogue";
+    public static final String MACHINE_TYPES = "catalogue";
     /**
      * The first shard of the image index, which lists the images of each machine. The production version reads only
      * this one.
--- a/src/test/java/org/mountlug/core/PreemptorTest.java
+++ b/src/test/java/org/mountlug/core/PreemptorTest.java
@@ -67,7 +67,7 @@
                 .preemptFor(
                         List.of(gang),
                         allocator.machineViews(),
-                        allocator.usage(),
+                        allocator.usageByTeam(),
                         new ReplicaStartTimes(j -> 8, 2),
                         2);
         assertEquals(
@@ -124,7 +124,7 @@
             preemptor.preemptFor(
                     waitingJobs,
                     allocator.machineViews(),
-                    allocator.usage(),
+                    allocator.usageByTeam(),
                     new ReplicaStartTimes(j -> 8, nowS),
                     nowS);
         }
@@ -167,7 +167,7 @@
                 .preemptFor(
                         List.of(gang),
                         allocator.machineViews(),
-                        allocator.usage(),
+                        allocator.usageByTeam(),
                         new ReplicaStartTimes(j -> 8, 2),
                         2);
         assertEquals(
--- a/src/test/java/org/mountlug/core/ReplicasTest.java
+++ b/src/test/java/org/mountlug/core/ReplicasTest.java
@@ -117,7 +117,7 @@
         Allocator allocator = new Allocator(cluster, Fixtures.untrackedZones(cluster), x -> 0, startTimes(6), 6);
         allocator.allocate();
         new Preemptor(cluster)
-                .preemptFor(List.of(service), allocator.machineViews(), allocator.usage(), startTimes(6), 6);
+                .preemptFor(List.of(service), allocator.machineViews(), allocator.usageByTeam(), startTimes(6), 6);
         assertEquals(stopped, runningJob.placements.values().stream().anyMatch(p -> p.stopping));
     }
 
--- a/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
@@ -145,7 +145,7 @@
             String job = jobId(number);
             for (SimulatedCluster.ControllerProcess process : cluster.controllers) {
                 byte[] body = process.buildSubmission(job, 1, false, queue);
-                process.askAsync(
+                process.requestAsync(
                         "submission",
                         job,
                         reply -> process.users.submit(body, reply),
--- a/src/test/java/org/mountlug/node/AdmissionLoopbackTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionLoopbackTest.java
@@ -37,8 +37,8 @@
         OperatorSettings operators = LoadGenerator.operatorsWithAdmission();
         SimulatedCluster simulation = new SimulatedCluster(
                 0, List.of(new Team("t", 0, 0, 0, 0, 1), new Team("u", 0, 0, 0, 0, 1)), 5, false, 8, 8, operators);
-        simulation.stateService.rps = 200;
-        simulation.stateService.writeRps = 25;
+        simulation.stateService.requestsPerS = 200;
+        simulation.stateService.writesPerS = 25;
         simulation.taskDurationS = 2;
         ExecutorService floodingUsers = Executors.newFixedThreadPool(FLOODING_THREADS);
         try (LoopbackCluster cluster = new LoopbackCluster(simulation, operators, 3)) {
--- a/src/test/java/org/mountlug/node/CancellationFaultsTest.java
+++ b/src/test/java/org/mountlug/node/CancellationFaultsTest.java
@@ -61,7 +61,7 @@
         } else {
             // The cancellation is written, but the response to the write is lost: it is not acknowledged yet.
             firstFollower.stateLink = FakeStateService.Link.RESPONSES_LOST;
-            firstFollower.askAsync(
+            firstFollower.requestAsync(
                     "cancellation", jobId(1), reply -> firstFollower.users.cancel(jobId(1), reply), null);
             cluster.runFor(0.02);
             assertEquals(1, cluster.stateService.writesWithLostResponse);
@@ -73,7 +73,7 @@
                         case "poll", "poll at a third controller" -> respondingController.poll(jobId(1));
                         case "submission" -> {
                             List<Map<String, Object>> responses = new ArrayList<>();
-                            respondingController.askAsync(
+                            respondingController.requestAsync(
                                     "submission",
                                     jobId(1),
                                     reply -> respondingController.users.submit(
@@ -135,7 +135,7 @@
         }
         for (int i = 0; i < extraJobs; i++) {
             String id = jobId(1000 + i);
-            respondingController.askAsync(
+            respondingController.requestAsync(
                     "cancellation", id, reply -> respondingController.users.cancel(id, reply), null);
             if (i % 25 == 24) {
                 cluster.runFor(0.05);
@@ -316,7 +316,7 @@
                     if (requestIndex % 7 == 3) {
                         controller.resubmit(id);
                     } else {
-                        controller.askAsync("poll", id, reply -> controller.users.poll(id, reply), null);
+                        controller.requestAsync("poll", id, reply -> controller.users.poll(id, reply), null);
                     }
                     requestsSent[0]++;
                 });
@@ -324,7 +324,7 @@
             if (cancelled) {
                 cluster.schedule(jobIndex * 1.7 + (jobEvent.equals("cancelled") ? 0.01 + jobIndex * 0.4 : 4.4), () -> {
                     for (SimulatedCluster.ControllerProcess controller : cluster.controllers) {
-                        controller.askAsync("cancellation", id, reply -> controller.users.cancel(id, reply), null);
+                        controller.requestAsync("cancellation", id, reply -> controller.users.cancel(id, reply), null);
                     }
                 });
             }
@@ -399,7 +399,7 @@
             });
             cluster.schedule(
                     isolatedAfterS + 0.001,
-                    () -> respondingController.askAsync(
+                    () -> respondingController.requestAsync(
                             "cancellation",
                             jobId(1),
                             reply -> respondingController.users.cancel(jobId(1), reply),
@@ -416,7 +416,7 @@
         for (int i = 0; i < 40; i++) {
             cluster.runFor(0.05);
             for (SimulatedCluster.ControllerProcess controller : cluster.controllers) {
-                controller.askAsync("poll", jobId(1), reply -> controller.users.poll(jobId(1), reply), null);
+                controller.requestAsync("poll", jobId(1), reply -> controller.users.poll(jobId(1), reply), null);
             }
         }
         oldLeader.cutFromPeers = oldLeader.cutFromWorkers = false;
@@ -533,7 +533,7 @@
                 SimulatedCluster.ControllerProcess controller = cluster.controllers.get(index);
                 cluster.schedule(
                         cancelAtS + index * 0.4,
-                        () -> controller.askAsync(
+                        () -> controller.requestAsync(
                                 "cancellation",
                                 id,
                                 reply -> controller.users.cancel(id, reply),
@@ -569,8 +569,8 @@
     void manyOneTaskJobsWithAQuarterCancelled() {
         SimulatedCluster cluster = new SimulatedCluster(3);
         cluster.taskDurationS = 2;
-        cluster.stateService.rps = 200;
-        cluster.stateService.writeRps = 25;
+        cluster.stateService.requestsPerS = 200;
+        cluster.stateService.writesPerS = 25;
         for (int i = 0; i < 240; i++) {
             int number = i;
             cluster.schedule(2 + i * 0.25, () -> {
@@ -588,7 +588,7 @@
                 if (number % 4 == 1) {
                     cluster.schedule(0.05 + number % 13 * 0.3, () -> {
                         SimulatedCluster.ControllerProcess nextController = cluster.controllers.get((number + 1) % 3);
-                        nextController.askAsync(
+                        nextController.requestAsync(
                                 "cancellation",
                                 jobId(number),
                                 reply -> nextController.users.cancel(jobId(number), reply),
@@ -665,7 +665,7 @@
                     if (fault.equals("restarts") && leader.up) {
                         leader.restartAfter(0.3);
                     }
-                    respondingController.askAsync(
+                    respondingController.requestAsync(
                             "cancellation",
                             id,
                             reply -> respondingController.users.cancel(id, reply),
@@ -714,7 +714,7 @@
                     double shortestRunS = cluster.workers.values().stream()
                             .flatMap(worker -> worker.activeTasks().stream())
                             .filter(task -> task.jobId.equals(id))
-                            .mapToDouble(task -> task.ranS)
+                            .mapToDouble(task -> task.elapsedRunS)
                             .min()
                             .orElse(99);
                     if (requestsSent[i] || shortestRunS < cluster.taskDurationS + Math.min(0, afterS) - 0.01) {
@@ -723,8 +723,9 @@
                     requestsSent[i] = true;
                     cluster.schedule(Math.max(0, afterS), () -> {
                         for (SimulatedCluster.ControllerProcess controller : cluster.controllers) {
-                            controller.askAsync("cancellation", id, reply -> controller.users.cancel(id, reply), null);
-                            controller.askAsync("poll", id, reply -> controller.users.poll(id, reply), null);
+                            controller.requestAsync(
+                                    "cancellation", id, reply -> controller.users.cancel(id, reply), null);
+                            controller.requestAsync("poll", id, reply -> controller.users.poll(id, reply), null);
                             controller.resubmit(id);
                         }
                     });
--- a/src/test/java/org/mountlug/node/FakeStateService.java
+++ b/src/test/java/org/mountlug/node/FakeStateService.java
@@ -30,10 +30,10 @@
     /** Seconds by which transactions over a {@link Link#WRITES_DELAYED} link are executed late. */
     double writeDelayS = 3;
     /** Requests per second that are accepted, with a burst of one second's worth; infinity switches both rate limits off. */
-    double rps = Double.POSITIVE_INFINITY;
+    double requestsPerS = Double.POSITIVE_INFINITY;
 
     /** Writes per second that are accepted, with a burst of one second's worth. */
-    double writeRps = Double.POSITIVE_INFINITY;
+    double writesPerS = Double.POSITIVE_INFINITY;
     /** Whether refused requests count towards the rate limits; the protocol does not define it. */
     boolean refusalsConsumeLimit = true;
     /** Number of requests that the rate limits refused. */
@@ -159,14 +159,15 @@
 
     /** Counts the request and its writes, and returns whether either rate limit refuses it. */
     private boolean isOverRateLimit(Map<String, Object> body) {
-        if (Double.isInfinite(rps)) {
+        if (Double.isInfinite(requestsPerS)) {
             return false;
         }
         double elapsedS = Double.isNaN(requestsLeft) ? 1 : cluster.nowS - lastRefillS;
         lastRefillS = cluster.nowS;
         int writeCount = Fields.getList(body, "writes").size();
-        requestsLeft = Math.min(rps, (Double.isNaN(requestsLeft) ? 0 : requestsLeft) + elapsedS * rps) - 1;
-        writesLeft = Math.min(writeRps, writesLeft + elapsedS * writeRps) - writeCount;
+        requestsLeft =
+                Math.min(requestsPerS, (Double.isNaN(requestsLeft) ? 0 : requestsLeft) + elapsedS * requestsPerS) - 1;
+        writesLeft = Math.min(writesPerS, writesLeft + elapsedS * writesPerS) - writeCount;
         if (requestsLeft >= 0 && writesLeft >= 0) {
             return false;
         }
--- a/src/test/java/org/mountlug/node/InjectedFault.java
+++ b/src/test/java/org/mountlug/node/InjectedFault.java
@@ -158,9 +158,9 @@
                 SimulatedCluster.ControllerProcess process = context.anyController();
                 process.pause(longPauseS(context.durationS()));
                 for (String id : context.cluster().acceptedJobs()) {
-                    process.askAsyncThroughSocket("poll", id, reply -> process.users.poll(id, reply), null);
+                    process.requestAsyncThroughSocket("poll", id, reply -> process.users.poll(id, reply), null);
                     if (context.random().nextInt(4) == 0) {
-                        process.askAsyncThroughSocket("abort", id, reply -> process.users.cancel(id, reply), null);
+                        process.requestAsyncThroughSocket("abort", id, reply -> process.users.cancel(id, reply), null);
                     }
                 }
             },
@@ -195,12 +195,12 @@
     POLL_OVERLOAD(context -> {
         SimulatedCluster cluster = context.cluster();
         double durationS = Math.min(context.durationS(), 12);
-        cluster.stateService.rps = 200;
+        cluster.stateService.requestsPerS = 200;
         for (double delayS = 0; delayS < durationS; delayS += 0.05) {
             int firstJob = context.random().nextInt(26);
             cluster.schedule(delayS, () -> pollAllControllers(cluster, firstJob));
         }
-        cluster.schedule(durationS + 1, () -> cluster.stateService.rps = Double.POSITIVE_INFINITY);
+        cluster.schedule(durationS + 1, () -> cluster.stateService.requestsPerS = Double.POSITIVE_INFINITY);
     }),
     /** Users submit jobs whose tasks fail on every machine, and cancel them after the fault. */
     FAILING_JOBS(context -> {
@@ -327,7 +327,7 @@
         if (resubmits) {
             process.resubmit(id);
         } else {
-            process.askAsync("poll", id, reply -> process.users.poll(id, reply), null);
+            process.requestAsync("poll", id, reply -> process.users.poll(id, reply), null);
         }
     }
 
@@ -335,7 +335,7 @@
         for (SimulatedCluster.ControllerProcess process : cluster.controllers) {
             for (int i = 0; i < 10; i++) {
                 String id = FaultTestSteps.jobId(1 + (firstJob + i) % 26);
-                process.askAsync("poll", id, reply -> process.users.poll(id, reply), null);
+                process.requestAsync("poll", id, reply -> process.users.poll(id, reply), null);
             }
         }
     }
@@ -352,7 +352,7 @@
                     cluster.controllers.get((firstController + i) % cluster.controllers.size());
             cluster.schedule(delayS + 2 * i, () -> {
                 if (cluster.acceptedJobs().contains(id) && cluster.outcome(id) == null) {
-                    process.askAsync("abort", id, reply -> process.users.cancel(id, reply), null);
+                    process.requestAsync("abort", id, reply -> process.users.cancel(id, reply), null);
                 }
             });
         }
--- a/src/test/java/org/mountlug/node/LargeFleetTest.java
+++ b/src/test/java/org/mountlug/node/LargeFleetTest.java
@@ -30,7 +30,7 @@
     /** Returns the number of machines that the leader counts as up; 0 without a leader. */
     private int machinesKnownToLeader() {
         SimulatedCluster.ControllerProcess leader = cluster.leader();
-        return leader == null ? 0 : leader.controller.upMachineCount();
+        return leader == null ? 0 : leader.controller.reportedMachineCount();
     }
 
     /** Returns the names of the machines with active tasks. */
--- a/src/test/java/org/mountlug/node/LateMessageFaultsTest.java
+++ b/src/test/java/org/mountlug/node/LateMessageFaultsTest.java
@@ -66,7 +66,7 @@
                 1,
                 () -> cluster.controllers
                         .get(1)
-                        .askAsync(
+                        .requestAsync(
                                 "cancellation",
                                 jobId(4),
                                 reply -> cluster.controllers.get(1).users.cancel(jobId(4), reply),
--- a/src/test/java/org/mountlug/node/LoadGenerator.java
+++ b/src/test/java/org/mountlug/node/LoadGenerator.java
@@ -89,7 +89,7 @@
                 }
             });
             byte[] body = process.buildSubmission(id, 1, false, Map.of("crew", queue.team(), "lane", queue.jobClass()));
-            process.askAsync("submission", id, reply -> process.users.submit(body, reply), response -> {
+            process.requestAsync("submission", id, reply -> process.users.submit(body, reply), response -> {
                 if (response.get("answer") instanceof UserResponse.Accepted && !createdJobs.add(id)) {
                     violations.add(id + " was created twice");
                 }
@@ -189,8 +189,8 @@
             allTeams.add(new Team(team, 0, 0, 0, 0, operators.teamWeight(team)));
         }
         SimulatedCluster cluster = new SimulatedCluster(controllers, allTeams, 10, false, 8, 8, operators);
-        cluster.stateService.rps = 200;
-        cluster.stateService.writeRps = 25;
+        cluster.stateService.requestsPerS = 200;
+        cluster.stateService.writesPerS = 25;
         cluster.taskDurationS = 2;
         cluster.runFor(8);
         cluster.stateService.rateLimitedRequests = 0;
--- a/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
+++ b/src/test/java/org/mountlug/node/OverlappingFaultsTest.java
@@ -49,7 +49,7 @@
                 cluster.schedule(20 * i + retry, () -> {
                     SimulatedCluster.ControllerProcess controller = cluster.controllers.get(2);
                     if (!cluster.cancelAcknowledgedAtS.containsKey(id)) {
-                        controller.askAsync("cancellation", id, reply -> controller.users.cancel(id, reply), null);
+                        controller.requestAsync("cancellation", id, reply -> controller.users.cancel(id, reply), null);
                     }
                 });
             }
--- a/src/test/java/org/mountlug/node/PausedControllerTest.java
+++ b/src/test/java/org/mountlug/node/PausedControllerTest.java
@@ -46,10 +46,10 @@
             responseTimesS.add(cluster.nowS);
         };
         cluster.schedule(1, () -> {
-            paused.askAsyncThroughSocket("poll", id(1), reply -> paused.users.poll(id(1), reply), recordResponse);
-            paused.askAsyncThroughSocket(
+            paused.requestAsyncThroughSocket("poll", id(1), reply -> paused.users.poll(id(1), reply), recordResponse);
+            paused.requestAsyncThroughSocket(
                     "cancellation", id(2), reply -> paused.users.cancel(id(2), reply), recordResponse);
-            paused.askAsyncThroughSocket(
+            paused.requestAsyncThroughSocket(
                     "submission",
                     null,
                     reply -> paused.users.submit(cluster.newSubmission(id(3), 2), reply),
--- a/src/test/java/org/mountlug/node/PollOverloadTest.java
+++ b/src/test/java/org/mountlug/node/PollOverloadTest.java
@@ -32,8 +32,8 @@
     })
     void jobsProceedDuringPollOverload(int controllers, int pollsPerS, String polledJobs, boolean newLeader) {
         SimulatedCluster cluster = new SimulatedCluster(controllers);
-        cluster.stateService.rps = 200;
-        cluster.stateService.writeRps = 25;
+        cluster.stateService.requestsPerS = 200;
+        cluster.stateService.writesPerS = 25;
         cluster.taskDurationS = 6;
         for (int i = 1; i <= 6; i++) {
             cluster.submitUntilAccepted(id(i), 4, false);
@@ -61,7 +61,7 @@
                                     default -> id(1 + random.nextInt(130));
                                 };
                         double sentAtS = cluster.nowS;
-                        controller.askAsync("poll", job, reply -> controller.users.poll(job, reply), response -> {
+                        controller.requestAsync("poll", job, reply -> controller.users.poll(job, reply), response -> {
                             lastResponseAtS[0] = cluster.nowS;
                             if (response.get("code").equals(429)) {
                                 refusedPolls[0]++;
@@ -81,7 +81,7 @@
             String job = id(101 + i);
             cluster.schedule(2 + i, () -> {
                 byte[] body = cluster.newSubmission(job, 2);
-                controller.askAsync(
+                controller.requestAsync(
                         "submission",
                         job,
                         reply -> controller.users.submit(body, reply),
@@ -91,7 +91,7 @@
                 SimulatedCluster.ControllerProcess nextController = cluster.controllers.get((i + 1) % controllers);
                 cluster.schedule(
                         3 + i,
-                        () -> nextController.askAsync(
+                        () -> nextController.requestAsync(
                                 "cancellation",
                                 job,
                                 reply -> nextController.users.cancel(job, reply),
@@ -131,8 +131,8 @@
     @CsvSource({"1", "2", "3", "4"})
     void noResponseIsOlderThanAnEarlierOne(int seed) {
         SimulatedCluster cluster = new SimulatedCluster(5);
-        cluster.stateService.rps = 200;
-        cluster.stateService.writeRps = 25;
+        cluster.stateService.requestsPerS = 200;
+        cluster.stateService.writesPerS = 25;
         cluster.taskDurationS = 3;
         SplittableRandom random = new SplittableRandom(seed);
         for (int i = 1; i <= 12; i++) {
@@ -142,7 +142,7 @@
             if (i % 3 == 0) {
                 cluster.schedule(6 + i + random.nextDouble() * 6, () -> {
                     SimulatedCluster.ControllerProcess controller = cluster.controllers.get(random.nextInt(5));
-                    controller.askAsync("cancellation", job, reply -> controller.users.cancel(job, reply), null);
+                    controller.requestAsync("cancellation", job, reply -> controller.users.cancel(job, reply), null);
                 });
             }
         }
@@ -153,7 +153,7 @@
                     if (random.nextInt(12) == 0 && cluster.originalSubmission(job) != null) {
                         controller.resubmit(job);
                     } else {
-                        controller.askAsync("poll", job, reply -> controller.users.poll(job, reply), null);
+                        controller.requestAsync("poll", job, reply -> controller.users.poll(job, reply), null);
                     }
                 }
             });
--- a/src/test/java/org/mountlug/node/SimulatedCluster.java
+++ b/src/test/java/org/mountlug/node/SimulatedCluster.java
@@ -61,7 +61,7 @@
             List.of("a"));
     static final double MACHINE_CPUS = 4;
     /** Seconds within which some controller must answer polls of each accepted job, once all faults are over. */
-    static final double ANSWERED_S = 75;
+    static final double MAX_ANSWER_DELAY_S = 75;
     /** Seconds for which a job may wait, once all faults are over, while a machine has free capacity for it. */
     static final double MAX_WAIT_WITH_FREE_CAPACITY_S = 90;
 
@@ -342,10 +342,10 @@
                     job.lastPolledAtS = nowS;
                     ControllerProcess process = controllers.get((second + polls) % controllers.size());
                     if (process.up) {
-                        process.askAsync("poll", id, r -> process.users.poll(id, r), null);
+                        process.requestAsync("poll", id, r -> process.users.poll(id, r), null);
                     }
                 }
-                if (nowS - Math.max(startS, job.lastAnsweredAtS) > ANSWERED_S) {
+                if (nowS - Math.max(startS, job.lastAnsweredAtS) > MAX_ANSWER_DELAY_S) {
                     recordViolation("no controller answers about " + id);
                 }
                 if (isRunning(id) && services.contains(id)) {
@@ -718,22 +718,22 @@
         }
 
         /** Sends a user's request and runs until its response; returns null if none comes within 5 s. */
-        Map<String, Object> ask(Consumer<UserRequestHandler.Reply> request) {
-            return ask("request", null, request);
+        Map<String, Object> request(Consumer<UserRequestHandler.Reply> request) {
+            return request("request", null, request);
         }
 
-        private Map<String, Object> ask(String requestName, String id, Consumer<UserRequestHandler.Reply> request) {
+        private Map<String, Object> request(String requestName, String id, Consumer<UserRequestHandler.Reply> request) {
             List<Map<String, Object>> responses = new ArrayList<>();
             if (!up || pausedUntilS > nowS) {
                 return null;
             }
-            askAsync(requestName, id, request, responses::add);
+            requestAsync(requestName, id, request, responses::add);
             runUntil(5, () -> !responses.isEmpty());
             return responses.isEmpty() ? null : responses.get(0);
         }
 
         /** Sends a request unless the process is down or paused; checks the response if {@code id} is not null. */
-        void askAsync(
+        void requestAsync(
                 String requestName,
                 String id,
                 Consumer<UserRequestHandler.Reply> request,
@@ -761,20 +761,20 @@
         }
 
         /** Sends a user's request without waiting; a paused process reads the request from its socket after the pause. */
-        void askAsyncThroughSocket(
+        void requestAsyncThroughSocket(
                 String requestName,
                 String id,
                 Consumer<UserRequestHandler.Reply> request,
                 Consumer<Map<String, Object>> then) {
-            runAfterPause(() -> askAsync(requestName, id, request, then));
+            runAfterPause(() -> requestAsync(requestName, id, request, then));
         }
 
         Map<String, Object> poll(String id) {
-            return ask("poll", id, r -> users.poll(id, r));
+            return request("poll", id, r -> users.poll(id, r));
         }
 
         Map<String, Object> cancel(String id) {
-            return ask("abort", id, r -> users.cancel(id, r));
+            return request("abort", id, r -> users.cancel(id, r));
         }
 
         Map<String, Object> submit(String id, int tasks, boolean gang) {
@@ -783,7 +783,7 @@
 
         Map<String, Object> submit(String id, int tasks, boolean gang, Map<String, Object> extraFields) {
             byte[] body = buildSubmission(id, tasks, gang, extraFields);
-            return ask("submission", id, r -> users.submit(body, r));
+            return request("submission", id, r -> users.submit(body, r));
         }
 
         /** Builds a submission and, unless the job was accepted before, records what it asks for. */
@@ -834,12 +834,12 @@
                 return;
             }
             byte[] body = buildSubmission(id, tasks, gang, extraFields);
-            askAsync("submission", id, r -> users.submit(body, r), null);
+            requestAsync("submission", id, r -> users.submit(body, r), null);
         }
 
         /** Sends again the last submission that was built before the job was accepted. */
         void resubmit(String id) {
-            askAsync("submission", id, r -> users.submit(submissionBodies.get(id), r), null);
+            requestAsync("submission", id, r -> users.submit(submissionBodies.get(id), r), null);
         }
     }
 
@@ -938,7 +938,7 @@
         AttemptState state = AttemptState.RUNNING;
         ExitCause cause = ExitCause.NONE;
         /** Seconds of its run time that have passed. */
-        double ranS;
+        double elapsedRunS;
 
         Task(String job, int index, long attempt) {
             this.jobId = job;
@@ -1049,10 +1049,10 @@
                 if (task.state != AttemptState.RUNNING) {
                     continue;
                 }
-                task.ranS += 0.1 / slowdownFactor;
+                task.elapsedRunS += 0.1 / slowdownFactor;
                 boolean fails = failsAllTasks || failingJobs.contains(task.jobId);
                 boolean isService = services.contains(task.jobId);
-                if (fails || task.ranS >= taskDurationS && (!isService || replicaExitCause != null)) {
+                if (fails || task.elapsedRunS >= taskDurationS && (!isService || replicaExitCause != null)) {
                     task.state = AttemptState.EXITED;
                     task.cause = fails ? ExitCause.ERROR : isService ? replicaExitCause : ExitCause.DONE;
                     if (task.cause == ExitCause.DONE && submittedJobs.containsKey(task.jobId)) {
@@ -1214,7 +1214,7 @@
                         : attempt.cause() == ExitCause.STOPPED ? "halted" : null;
                 pieces.add(Fields.orderedMap(
                         "piece",
-                        attempt.job() + "/" + attempt.task(),
+                        attempt.jobId() + "/" + attempt.task(),
                         "try",
                         attempt.attempt(),
                         "status",
--- a/src/test/java/org/mountlug/node/SingleFaultsTest.java
+++ b/src/test/java/org/mountlug/node/SingleFaultsTest.java
@@ -451,7 +451,7 @@
                 };
         double sentAtS = cluster.nowS;
         Map<String, Object> response = submission.equals("not CBOR")
-                ? controller.ask(reply -> controller.users.submit(new byte[] {-1, 3}, reply))
+                ? controller.request(reply -> controller.users.submit(new byte[] {-1, 3}, reply))
                 : controller.submit(id(1), tasks, submission.startsWith("gang"), extraFields);
         assertEquals(code, response.get("code"));
         assertTrue(cluster.nowS - sentAtS < 0.6);
--- a/src/test/java/org/mountlug/node/ZonePropertiesTest.java
+++ b/src/test/java/org/mountlug/node/ZonePropertiesTest.java
@@ -96,7 +96,7 @@
                 case CANCEL -> {
                     String job = jobId(1 + step.index);
                     SimulatedCluster.ControllerProcess process = cluster.controllers.get(step.index);
-                    process.askAsync("abort", job, reply -> process.users.cancel(job, reply), null);
+                    process.requestAsync("abort", job, reply -> process.users.cancel(job, reply), null);
                 }
                 case REFUSE_RENTALS -> cluster.cloud.zonesRefusingRentals.add(zone);
                 default -> throw new IllegalStateException();
--- a/src/test/java/org/mountlug/store/ProductionCompatibilityTest.java
+++ b/src/test/java/org/mountlug/store/ProductionCompatibilityTest.java
@@ -189,7 +189,7 @@
     void productionRecordsAreSplitIntoParts(String name, int maxChars) throws IOException {
         Job job = readJobFixture(name);
         JobRecordCodec.PartLayout layout = JobRecordCodec.layoutFor(job.spec, maxChars, 9);
-        job.splitIntoParts(layout.ownTasks(), layout.tasksPerPart(), 0);
+        job.splitIntoParts(layout.mainRecordTasks(), layout.tasksPerPart(), 0);
         Map<String, Object> mainRecord = Cbor.readMap(Cbor.write(JobRecordCodec.write(job, "50.1")));
         assertTrue(Json.length(mainRecord) <= maxChars, mainRecord.toString());
         Job decoded = JobRecordCodec.read(job.spec.id(), mainRecord, 11, 0);
