--- a/src/test/java/org/mountlug/node/AdmissionFault.java
+++ b/src/test/java/org/mountlug/node/AdmissionFault.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A fault that is injected into a load of submissions, with the delays that it may cause. */
+/** A fault that is injected while users submit jobs, with the longest delays that it may cause. */
 enum AdmissionFault {
     NONE(0, 0, load -> {}),
     CLOCK_SKEW(0, 0, load -> {
@@ -52,9 +52,9 @@
         process.restartAfter(1);
     });
 
-    /** Seconds for which submissions may not be accepted because of the fault. */
+    /** Longest time, in seconds, for which the fault may delay the acceptance of a submission. */
     final double unavailableS;
-    /** Seconds without a leader that reaches the state service. */
+    /** Longest time, in seconds, without a leader that reaches the state service. */
     final double leaderlessS;
 
     /** Schedules the fault on the load's cluster. */
@@ -71,7 +71,7 @@
         return FaultTestSteps.otherController(load.cluster, load.cluster.leader());
     }
 
-    /** Gives a controller's link to the state service this state for a while, {@code delayS} seconds from now. */
+    /** Degrades a controller's link to the state service in {@code delayS} seconds, for {@code durationS} seconds. */
     private static void degradeStateLink(
             LoadGenerator load,
             SimulatedCluster.ControllerProcess process,
--- a/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
+++ b/src/test/java/org/mountlug/node/AdmissionFaultsTest.java
@@ -23,7 +23,10 @@
 /** Tests admission control while one team overloads it, other teams stay within their shares, and a fault occurs. */
 class AdmissionFaultsTest {
     private static final double LOAD_S = 60;
-    /** Seconds for two retries of a submission that arrived before the leader knew of the overload. */
+    /**
+     * Longest time, in seconds, to acceptance in a queue within its share: two retries of a submission that arrived before the
+     * leader knew of the overload.
+     */
     private static final double MAX_QUIET_ACCEPTANCE_S = 10;
     /** Seconds from the end of a job's last task to its final record; users are notified within the same time. */
     private static final double MAX_COMPLETION_LAG_S = 3;
@@ -153,7 +156,7 @@
             }
             cluster.runFor(0.3);
             assertEquals(cluster.controllers.size(), responses.size(), "every controller responds within 0.3 s");
-            responses.removeIf(response -> response instanceof UserResponse.Unavailable); // is no decision on the job
+            responses.removeIf(response -> response instanceof UserResponse.Unavailable); // does not decide the job
             Set<Object> decisions = new HashSet<>();
             int created = 0;
             for (UserResponse response : responses) {
--- a/src/test/java/org/mountlug/node/ConnectivityTest.java
+++ b/src/test/java/org/mountlug/node/ConnectivityTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.mountlug.core.model.Team;
 
-/** A leader that reaches only some of the state service, its peers and the workers, while its peers reach all of them. */
+/** Tests leader changes and responses to users while controllers reach only some of the state service, peers and workers. */
 class ConnectivityTest {
     private static String jobId(int number) {
         return String.format("wk-%06d", number);
--- a/src/test/java/org/mountlug/node/FakeCloud.java
+++ b/src/test/java/org/mountlug/node/FakeCloud.java
@@ -25,11 +25,11 @@
     private final SimulatedCluster cluster;
     /** Names of the machines of each rental, by the rental's name; a repeated rental returns the same machines. */
     private final Map<String, List<Object>> rentalsByName = new HashMap<>();
-    /** Most machines in all zones. */
+    /** Most machines in all zones together. */
     int capacity = 40;
     /** Most machines of a zone; no limit for a zone that is not a key. */
     final Map<String, Integer> zoneCapacity = new HashMap<>();
-    /** Zones that the machine type names. */
+    /** Zones in which machines can be rented, as the machine type lists them. */
     List<Object> zones = List.of("a");
     /** Zones in which every rental is refused. */
     final Set<String> zonesRefusingRentals = new HashSet<>();
--- a/src/test/java/org/mountlug/node/FakeStateService.java
+++ b/src/test/java/org/mountlug/node/FakeStateService.java
@@ -14,7 +14,7 @@
 
 /** An in-memory state service: its protocol with revisions, leases, watches, size and rate limits, and outages. */
 final class FakeStateService {
-    /** How requests of one controller fare. */
+    /** How requests of one controller fare; one without a response ends with status 0 at the client's timeout. */
     enum Link {
         HEALTHY,
         /** Requests get status 503; watches get no response. */
@@ -39,8 +39,11 @@
     /** Number of requests that the rate limits refused. */
     int rateLimitedRequests;
 
+    /** Requests that the rate limit still admits; {@code NaN} before the first request. */
     private double requestsLeft = Double.NaN;
+    /** Writes that the rate limit still admits. */
     private double writesLeft;
+
     private double lastRefillS;
     /** Seconds by which every response takes longer. */
     double extraLatencyS;
@@ -52,7 +55,7 @@
 
     /** Number of transactions executed over a {@link Link#WRITES_DELAYED} link. */
     int delayedWritesApplied;
-    /** Number of those that succeeded. */
+    /** Number of transactions executed over a {@link Link#WRITES_DELAYED} link that succeeded. */
     int delayedWritesSucceeded;
     /** Number of transactions that succeeded while their responses were lost. */
     int writesWithLostResponse;
@@ -65,9 +68,9 @@
     private final SimulatedCluster cluster;
     private final int maxOps;
     private final int maxValueBytes;
-    /** The enforced limit on writes of a transaction, which a test can lower; beyond it, status 400. */
+    /** Enforced limit on a transaction's writes, which a test can lower without notice; beyond it, status 400. */
     private int currentMaxOps;
-    /** The enforced limit on the size of a value, which a test can lower; beyond it, status 400. */
+    /** Enforced limit on a value's bytes, which a test can lower without notice; beyond it, status 400. */
     private int currentMaxValueBytes;
     /** Number of transactions refused for their size. */
     int oversizedWritesRefused;
@@ -89,7 +92,7 @@
     /**
      * Creates an empty state service.
      *
-     * @param maxOps most operations of a transaction; more are recorded as a violation
+     * @param maxOps most writes of a transaction; more are recorded as a violation
      * @param maxValueKb largest value in KiB; a larger one is recorded as a violation
      */
     FakeStateService(SimulatedCluster cluster, int maxOps, int maxValueKb) {
@@ -349,7 +352,10 @@
         }
     }
 
-    /** Responds when a key of the prefix changes or the blocking time ends; with status 0 at the client's timeout. */
+    /**
+     * Responds when a key with the prefix has changed since the given revision or when the blocking time ends, and with
+     * status 0 at the client's timeout.
+     */
     private void watch(
             String path,
             double giveUpS,
@@ -389,7 +395,7 @@
         return (int) executeTransaction(copy(body))[0];
     }
 
-    /** Sets the enforced limits on the size of a value and on the operations of a transaction. */
+    /** Sets the enforced limits on the size of a value and on the writes of a transaction. */
     void setSizeLimits(double valueKb, int ops) {
         currentMaxValueBytes = (int) (valueKb * 1024);
         currentMaxOps = ops;
--- a/src/test/java/org/mountlug/node/InjectedFault.java
+++ b/src/test/java/org/mountlug/node/InjectedFault.java
@@ -53,12 +53,12 @@
     /** Reports of some machines are lost, while direct commands reach them. */
     MACHINE_REPORTS_BLOCKED(context -> context.affectSomeMachines(
             worker -> worker.reportsBlocked = true, worker -> worker.reportsBlocked = false)),
-    /** Responses to reports of some machines are lost, and direct commands reach them when the fault ends. */
+    /** Responses to reports of some machines are lost, and direct commands reach them only when the fault ends. */
     MACHINE_INBOUND_BLOCKED(context -> {
         context.affectSomeMachines(worker -> worker.inboundBlocked = true, worker -> worker.inboundBlocked = false);
         context.atEnd(() -> runHeld(context.cluster().heldCommands));
     }),
-    /** A third of some machines crash and do not return. */
+    /** A third of the machines that were drawn for the fault crash and do not return. */
     MACHINES_CRASH(context -> context.someMachines()
             .subList(0, context.someMachines().size() / 3)
             .forEach(SimulatedCluster.Worker::crash)),
@@ -72,13 +72,13 @@
         Runnable replay = collectReportReplay(context);
         context.cluster().schedule(2 + context.random().nextDouble() * context.durationS(), replay);
     }),
-    /** Old reports arrive again soon after the start of every later term. */
+    /** Old reports arrive again at every controller that runs, at most 0.8 s after the start of each later term. */
     REPORTS_REPLAYED_TO_NEXT_LEADER(context -> {
         SimulatedCluster cluster = context.cluster();
         Runnable replay = collectReportReplay(context);
         cluster.onTermStart.add(process -> cluster.schedule(context.random().nextInt(3) * 0.4, replay));
     }),
-    /** A controller and machines of zone a are cut off together: all of them, or half if zone a is the only zone. */
+    /** A controller is cut off together with the machines of zone a, or with about half of them if a is the only zone. */
     ZONE_ISOLATED(context -> {
         SimulatedCluster cluster = context.cluster();
         context.anyController().inIsolatedZone = true;
@@ -191,7 +191,7 @@
         context.cluster().everyNthNeverBoots = 2;
         context.atEnd(() -> context.cluster().everyNthNeverBoots = 0);
     }),
-    /** Users poll each controller 200 times a second, while the state service limits requests to 200 a second. */
+    /** Users poll each controller 200 times a second, for at most 12 s; the state service accepts 200 requests a second. */
     POLL_OVERLOAD(context -> {
         SimulatedCluster cluster = context.cluster();
         double durationS = Math.min(context.durationS(), 12);
@@ -250,7 +250,7 @@
         this.durationOf = durationOf;
     }
 
-    /** Number of faults, from the first one on, that the test without newer faults draws from. */
+    /** Number of original faults, declared before the newer ones; seeds of the test without newer faults draw only these. */
     static final int ORIGINAL_COUNT = LEADER_CUT_FROM_WORKERS.ordinal() + 1;
 
     /**
@@ -345,7 +345,7 @@
         context.cluster().controllers.forEach(process -> degradeStateLink(context, process, link, durationS));
     }
 
-    /** Schedules eight cancellation requests for a job, 2 s apart, at alternating controllers; they stop at its end. */
+    /** Schedules eight cancellation requests for a job, 2 s apart, at each controller in turn, unless the job has ended. */
     static void scheduleCancellation(SimulatedCluster cluster, String id, double delayS, int firstController) {
         for (int i = 0; i < 8; i++) {
             SimulatedCluster.ControllerProcess process =
@@ -371,7 +371,7 @@
         });
     }
 
-    /** Picks about two thirds of each worker's last 12 reports, and returns the action that sends them to all controllers. */
+    /** Picks about two thirds of each worker's last 12 reports; returns the action that sends them to running controllers. */
     private static Runnable collectReportReplay(FaultContext context) {
         SimulatedCluster cluster = context.cluster();
         SplittableRandom random = context.random();
--- a/src/test/java/org/mountlug/node/LoadGenerator.java
+++ b/src/test/java/org/mountlug/node/LoadGenerator.java
@@ -54,10 +54,11 @@
         final QueueId queue;
         final boolean probe;
         final double firstSentS = cluster.nowS;
-        /** When to retry for a turn that a response called final; {@code NaN} if none has. */
+        /** Time from which a retry must not be deferred again, as a response called its turn final; {@code NaN} if none did. */
         double finalTurnAtS = Double.NaN;
 
         boolean finished;
+        /** Grows with each request and with each scheduled retry, so that late responses can be told apart. */
         int requestNumber;
 
         Submission(QueueId queue, boolean probe) {
@@ -249,7 +250,10 @@
         }
     }
 
-    /** Schedules the phase's next submission, exponentially distributed after {@code afterS}. */
+    /**
+     * Schedules the phase's next submission an exponentially distributed time after {@code afterS}, which counts from
+     * {@code scenarioStartS}.
+     */
     private void scheduleNextArrival(LoadPhase phase, double scenarioStartS, double afterS) {
         double arrivalS = afterS - Math.log(1 - random.nextDouble()) / phase.ratePerS();
         if (arrivalS < phase.untilS()) {
@@ -261,7 +265,7 @@
         }
     }
 
-    /** Submits a job whose user retries as responses name it and never gives up. */
+    /** Submits a job whose user retries after the delay that a response names and never gives up. */
     void submitProbe(QueueId queue) {
         Submission probe = new Submission(queue, true);
         openProbes.add(probe);
--- a/src/test/java/org/mountlug/node/ZoneLoopbackTest.java
+++ b/src/test/java/org/mountlug/node/ZoneLoopbackTest.java
@@ -162,7 +162,7 @@
         return sum;
     }
 
-    /** Asserts that every job is done, and that every controller says so. */
+    /** Asserts that every job has the outcome done, and that every controller answers polls for it with status 200. */
     private static void assertAllJobsFinish(LoopbackCluster cluster) {
         SimulatedCluster simulation = cluster.simulation;
         for (int i = 0; i < 3 * TIMEOUT_S; i++) {
--- a/src/test/java/org/mountlug/node/ZoneLossTest.java
+++ b/src/test/java/org/mountlug/node/ZoneLossTest.java
@@ -73,7 +73,10 @@
                 .count();
     }
 
-    /** Displaced tasks of the class that the setting puts first are restarted before all others. */
+    /**
+     * Displaced tasks of the class that the setting puts first restart before all others; if the setting is empty, those of high
+     * priority do.
+     */
     @ParameterizedTest(name = "displacement order [{0}]")
     @ValueSource(strings = {"", "parts"})
     void displacedWorkRestartsInOrder(String firstClass) {
@@ -359,7 +362,7 @@
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Jobs are cancelled while their zone is isolated: their tasks end in time, in the zone through the worker lease. */
+    /** Jobs are cancelled while their zone is isolated: their tasks end in time, those in the zone as worker leases expire. */
     @ParameterizedTest(name = "{0} s after the isolation, leader inside {1}")
     @CsvSource({"0.5, false", "9, false", "20, false", "0.5, true", "9, true"})
     void jobsAreCancelledWhileTheirZoneIsIsolated(double afterS, boolean leaderInside) {
@@ -434,7 +437,10 @@
         assertSettles(scenario.cluster, 300);
     }
 
-    /** Terminating machines, a paused leader or a leader that no report reaches do not make a zone lost. */
+    /**
+     * A paused leader or a leader that no report reaches does not make a zone lost. When all machines of a zone terminate, only
+     * the settling of the cluster is checked.
+     */
     @ParameterizedTest(name = "{0}")
     @ValueSource(strings = {"machines terminate", "leader paused", "leader cut off from workers"})
     void otherFaultsDoNotMakeAZoneLost(String fault) {
--- a/src/test/java/org/mountlug/node/ZoneScenario.java
+++ b/src/test/java/org/mountlug/node/ZoneScenario.java
@@ -15,7 +15,7 @@
 /** A simulated cluster in three zones, which can be isolated and rejoined. */
 final class ZoneScenario {
     static final List<String> ZONES = List.of("a", "b", "c");
-    /** Seconds from the decision on a start to the start: a write, a report and its response. */
+    /** Most seconds from the decision to start a task to its start: a write, a report and its response. */
     static final double START_DELAY_S = 4;
 
     final SimulatedCluster cluster;
@@ -56,7 +56,7 @@
         isolate(zone, 1);
     }
 
-    /** Cuts the first machines of the zone, {@code share} of all, off from controllers outside it. */
+    /** Cuts the first machines of the zone, {@code share} (0 to 1) of them, off from controllers outside it. */
     void isolate(String zone, double share) {
         List<SimulatedCluster.Worker> workers = workersIn(zone);
         for (int i = 0; i < workers.size() * share; i++) {
@@ -69,7 +69,7 @@
         rejoin(zone, 1);
     }
 
-    /** Ends the isolation of the first machines of the zone, {@code share} of all. */
+    /** Ends the isolation of the first machines of the zone, {@code share} (0 to 1) of them. */
     void rejoin(String zone, double share) {
         List<SimulatedCluster.Worker> workers = workersIn(zone);
         for (int i = 0; i < workers.size() * share; i++) {
@@ -95,7 +95,7 @@
                 .toList();
     }
 
-    /** Returns the zone's status in the leader's view; present and without counts if there is no leader or status. */
+    /** Returns the zone's status in the leader's view; without a leader or a status, one that is present with zero counts. */
     ZoneStatus status(String zone) {
         SimulatedCluster.ControllerProcess leader = cluster.leader();
         if (leader != null) {
