--- a/src/test/java/org/mountlug/node/FakeCloud.java
+++ b/src/test/java/org/mountlug/node/FakeCloud.java
@@ -29,7 +29,7 @@
     int capacity = 40;
     /** Most machines of a zone; no limit for a zone that is not a key. */
     final Map<String, Integer> zoneCapacity = new HashMap<>();
-    /** Zones in which machines can be rented, as the machine type lists them. */
+    /** Zones that the machine type lists; rentals in other zones are not refused. */
     List<Object> zones = List.of("a");
     /** Zones in which every rental is refused. */
     final Set<String> zonesRefusingRentals = new HashSet<>();
--- a/src/test/java/org/mountlug/node/InjectedFault.java
+++ b/src/test/java/org/mountlug/node/InjectedFault.java
@@ -345,7 +345,10 @@
         context.cluster().controllers.forEach(process -> degradeStateLink(context, process, link, durationS));
     }
 
-    /** Schedules eight cancellation requests for a job, 2 s apart, at each controller in turn, unless the job has ended. */
+    /**
+     * Schedules eight cancellation requests for a job, 2 s apart, at each controller in turn. A request is omitted if the job is
+     * not accepted or has ended by then.
+     */
     static void scheduleCancellation(SimulatedCluster cluster, String id, double delayS, int firstController) {
         for (int i = 0; i < 8; i++) {
             SimulatedCluster.ControllerProcess process =
