--- a/src/main/java/org/mountlug/core/cluster/Cluster.java
+++ b/src/main/java/org/mountlug/core/cluster/Cluster.java
@@ -73,8 +73,8 @@
 
     private EventSummary events = new EventSummary();
     private final StartCounts startCounts = new StartCounts();
-    private long lostTasks;
-    private long failedTasks;
+    private long lostAttempts;
+    private long failedAttempts;
     /** Ids of CPU-only jobs that CPU machines cannot serve in time, and that may use whole accelerator machines. */
     public final Set<String> overflowJobs = new HashSet<>();
 
@@ -215,7 +215,7 @@
             quarantined += machine.quarantined ? 1 : 0;
         }
         return new FleetStatus(
-                jobs.size(), suspected, machines.size(), booting, silent, quarantined, lostTasks, failedTasks);
+                jobs.size(), suspected, machines.size(), booting, silent, quarantined, lostAttempts, failedAttempts);
     }
 
     /** Updates the machine types and their current prices, also on the machines. */
@@ -418,7 +418,7 @@
             job.retryNotBeforeS.put(placement.task, nowS + retryS);
         }
         job.markChanged(placement.task, nowS, job.cancelled);
-        lostTasks++;
+        lostAttempts++;
         addEvent(
                 "lost attempts of job " + job.spec.id() + ", " + reason,
                 placement.taskName() + " attempt " + placement.attempt + " on " + placement.machine);
@@ -493,9 +493,9 @@
         startCounts.addSucceeded(placement.zone);
     }
 
-    /** Records a failed task, for which its machine or its job may be at fault. */
+    /** Records a failed attempt, for which its machine or its job may be at fault. */
     void recordFailure(Machine machine, Job job, long attempt) {
-        failedTasks++;
+        failedAttempts++;
         failureAttribution.recordFailure(machine, job, attempt);
     }
 
--- a/src/main/java/org/mountlug/node/Metrics.java
+++ b/src/main/java/org/mountlug/node/Metrics.java
@@ -27,7 +27,7 @@
     private final AtomicLong submissions = new AtomicLong();
     private final AtomicLong rateLimitedRequests = new AtomicLong();
     private final Map<String, AtomicLong> deferredSubmissionsByTeam = new ConcurrentHashMap<>();
-    private final AtomicLong unservedRequests = new AtomicLong();
+    private final AtomicLong unavailableResponses = new AtomicLong();
     private final AtomicLong unansweredReports = new AtomicLong();
     private final AtomicLong processPauses = new AtomicLong();
     private final AtomicLong refusedRentals = new AtomicLong();
@@ -83,7 +83,7 @@
 
     /** Counts a response with status 503 (unavailable) to a user. */
     public void countUnavailableResponse() {
-        unservedRequests.incrementAndGet();
+        unavailableResponses.incrementAndGet();
     }
 
     /** Counts a worker's report to which a leader sent no response. */
@@ -131,7 +131,7 @@
             registerCounter("mountlug.reports", reports);
             registerCounter("mountlug.submissions", submissions);
             registerCounter("mountlug.requests.over.budget", rateLimitedRequests);
-            registerCounter("mountlug.requests.unserved", unservedRequests);
+            registerCounter("mountlug.requests.unserved", unavailableResponses);
             registerCounter("mountlug.reports.unanswered", unansweredReports);
             registerCounter("mountlug.standstills", processPauses);
             registerCounter("mountlug.rentals.refused", refusedRentals);
--- a/src/test/java/org/mountlug/node/FakeStateService.java
+++ b/src/test/java/org/mountlug/node/FakeStateService.java
@@ -66,10 +66,10 @@
     private record LogEntry(long revision, Map<String, Object> change) {}
 
     private final SimulatedCluster cluster;
-    private final int maxOps;
+    private final int maxWrites;
     private final int maxValueBytes;
     /** Enforced limit on a transaction's writes, which a test can lower without notice; beyond it, status 400. */
-    private int currentMaxOps;
+    private int currentMaxWrites;
     /** Enforced limit on a value's bytes, which a test can lower without notice; beyond it, status 400. */
     private int currentMaxValueBytes;
     /** Number of transactions refused for their size. */
@@ -97,9 +97,9 @@
      */
     FakeStateService(SimulatedCluster cluster, int maxOps, int maxValueKb) {
         this.cluster = cluster;
-        this.maxOps = maxOps;
+        this.maxWrites = maxOps;
         this.maxValueBytes = maxValueKb * 1024;
-        this.currentMaxOps = maxOps;
+        this.currentMaxWrites = maxOps;
         this.currentMaxValueBytes = maxValueBytes;
     }
 
@@ -274,7 +274,7 @@
         }
         List<Object> writes = Fields.getList(body, "writes");
         boolean withinSizeLimit = true;
-        if (writes.size() > maxOps) {
+        if (writes.size() > maxWrites) {
             cluster.recordViolation("transaction has " + writes.size() + " writes");
         }
         if (Json.length(body) > 64 * 1024) {
@@ -294,7 +294,7 @@
                 return new Object[] {400, Map.of("error", "no such lease")};
             }
         }
-        if (!withinSizeLimit || writes.size() > currentMaxOps) {
+        if (!withinSizeLimit || writes.size() > currentMaxWrites) {
             oversizedWritesRefused++;
             return new Object[] {400, Map.of("error", "too large")};
         }
@@ -398,7 +398,7 @@
     /** Sets the enforced limits on the size of a value and on the writes of a transaction. */
     void setSizeLimits(double valueKb, int ops) {
         currentMaxValueBytes = (int) (valueKb * 1024);
-        currentMaxOps = ops;
+        currentMaxWrites = ops;
     }
 
     /** Returns the stored keys with the prefix, in order. */
