--- a/src/main/java/org/mountlug/api/Api.java
+++ b/src/main/java/org/mountlug/api/HttpApi.java
@@ -11,21 +11,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.mountlug.Constants;
-import org.mountlug.agent.AgentCodec;
+import org.mountlug.agent.WorkerCodec;
 import org.mountlug.core.model.Report;
 import org.mountlug.node.Controller;
 import org.mountlug.wire.Cbor;
 
 /** What users, the load balancer and workers reach on {@code listen}: paths, methods and bodies. */
-public final class Api implements HttpHandler {
+public final class HttpApi implements HttpHandler {
     private static final String JOB_PREFIX = "/work/";
     private static final String ABORT_SUFFIX = "/abort";
 
     private final Controller node;
-    private final Users users;
+    private final UserRequestHandler users;
 
     /** Serves users and workers of this controller. */
-    public Api(Controller node, Users users) {
+    public HttpApi(Controller node, UserRequestHandler users) {
         this.node = node;
         this.users = users;
     }
@@ -34,7 +34,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
         switch (path) {
-            case "/up" -> handleIf(Methods.GET, exchange, () -> sendEmpty(exchange, node.healthy() ? 200 : 503));
+            case "/up" -> handleIf(Methods.GET, exchange, () -> sendEmpty(exchange, node.isHealthy() ? 200 : 503));
             case "/metrics" -> handleIf(Methods.GET, exchange, () -> sendMetrics(exchange));
             case "/work" ->
                 handleIf(
@@ -62,7 +62,7 @@
             handleIf(
                     Methods.POST,
                     exchange,
-                    () -> receiveAnyLength(exchange, body -> users.abort(jobId, answer -> send(exchange, answer))));
+                    () -> receiveAnyLength(exchange, body -> users.cancel(jobId, answer -> send(exchange, answer))));
         } else if (path.startsWith(JOB_PREFIX) && job.indexOf('/') < 0) {
             handleIf(
                     Methods.GET,
@@ -76,7 +76,7 @@
 
     /** Reads the body and hands it on; one over the limit is refused unread. */
     private static void receive(HttpServerExchange exchange, Consumer<byte[]> handler) {
-        if (exchange.getRequestContentLength() > Constants.BODY_MAX) {
+        if (exchange.getRequestContentLength() > Constants.MAX_BODY_BYTES) {
             exchange.setPersistent(false);
             sendBody(exchange, 400, Map.of("error", "body over 64 KiB"));
             return;
@@ -91,18 +91,18 @@
                         (received, error) -> sendEmpty(received, 400));
     }
 
-    private void send(HttpServerExchange exchange, UserAnswer answer) {
-        int status = UserAnswerCodec.status(answer);
-        if (answer instanceof UserAnswer.OverBudget) {
-            node.metrics().overBudget();
+    private void send(HttpServerExchange exchange, UserResponse answer) {
+        int status = UserResponseCodec.status(answer);
+        if (answer instanceof UserResponse.RateLimited) {
+            node.metrics().countRateLimitedRequest();
         } else if (status == 503) {
-            node.metrics().unserved();
+            node.metrics().countUnservedRequest();
         }
-        int retryAfterS = UserAnswerCodec.retryAfterS(answer);
+        int retryAfterS = UserResponseCodec.retryAfterS(answer);
         if (retryAfterS > 0) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterS);
         }
-        Map<String, Object> body = UserAnswerCodec.body(answer);
+        Map<String, Object> body = UserResponseCodec.body(answer);
         if (body.isEmpty()) {
             sendEmpty(exchange, status);
         } else {
@@ -137,10 +137,10 @@
             sendEmpty(exchange, 400);
             return;
         }
-        Controller.ReportAnswer answer = node.handleReport(report);
-        if (answer instanceof Controller.ReportAnswer.Orders orders) {
-            sendBody(exchange, 200, AgentCodec.answer(orders.token(), orders.orders()));
-        } else if (answer instanceof Controller.ReportAnswer.Elsewhere elsewhere) {
+        Controller.ReportResponse answer = node.handleReport(report);
+        if (answer instanceof Controller.ReportResponse.Commands orders) {
+            sendBody(exchange, 200, WorkerCodec.writeReportResponse(orders.token(), orders.commands()));
+        } else if (answer instanceof Controller.ReportResponse.NotLeader elsewhere) {
             sendBody(exchange, 421, elsewhere.leader() == null ? Map.of() : Map.of("foreman", elsewhere.leader()));
         } else {
             sendEmpty(exchange, 503);
@@ -150,7 +150,7 @@
     /** The report, or null if nobody can read it. */
     private static Report readReport(byte[] body) {
         try {
-            return AgentCodec.report(Cbor.readMap(body));
+            return WorkerCodec.readReport(Cbor.readMap(body));
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/org/mountlug/api/JobParser.java
+++ b/src/main/java/org/mountlug/api/JobParser.java
@@ -7,20 +7,20 @@
 import java.util.function.Function;
 import org.mountlug.Constants;
 import org.mountlug.core.model.JobSpec;
+import org.mountlug.core.model.JobType;
 import org.mountlug.core.model.MachineType;
+import org.mountlug.core.model.Priority;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.model.Shape;
 import org.mountlug.core.model.Team;
-import org.mountlug.core.model.Urgency;
 
 /** Users' submissions, checked field by field; the only place that knows their field names. */
 public final class JobParser {
     /** What is wrong with a body. */
-    public static final class Malformed extends Exception {
+    public static final class MalformedJobException extends Exception {
         private static final long serialVersionUID = 1;
 
         /** Names the field or the reason in the message that its user gets. */
-        public Malformed(String m) {
+        public MalformedJobException(String m) {
             super(m);
         }
     }
@@ -28,7 +28,7 @@
     private JobParser() {}
 
     /** Ids are "wk-" and digits, six at the least in every example. */
-    public static boolean validId(String id) {
+    public static boolean isValidId(String id) {
         if (id == null || !id.startsWith("wk-") || id.length() < 9 || id.length() > 24) {
             return false;
         }
@@ -41,45 +41,45 @@
     }
 
     /** Reads a submission; throws if a field is missing, of the wrong type or out of range. */
-    public static JobSpec parse(Map<String, Object> m, long nowMs) throws Malformed {
+    public static JobSpec parse(Map<String, Object> m, long nowMs) throws MalformedJobException {
         String id = text(m, "nameId");
-        if (!validId(id)) {
-            throw new Malformed("nameId");
+        if (!isValidId(id)) {
+            throw new MalformedJobException("nameId");
         }
-        Shape shape =
+        JobType shape =
                 switch (text(m, "shape")) {
-                    case "array" -> Shape.ARRAY;
-                    case "group" -> Shape.GANG;
-                    case "daemon" -> Shape.SERVICE;
-                    default -> throw new Malformed("shape");
+                    case "array" -> JobType.ARRAY;
+                    case "group" -> JobType.GANG;
+                    case "daemon" -> JobType.SERVICE;
+                    default -> throw new MalformedJobException("shape");
                 };
-        Urgency urgency =
+        Priority urgency =
                 switch (text(m, "urgency")) {
-                    case "prod" -> Urgency.PROD;
-                    case "high" -> Urgency.HIGH;
-                    case "standard" -> Urgency.STANDARD;
-                    case "idle" -> Urgency.IDLE;
-                    default -> throw new Malformed("urgency");
+                    case "prod" -> Priority.PROD;
+                    case "high" -> Priority.HIGH;
+                    case "standard" -> Priority.STANDARD;
+                    case "idle" -> Priority.IDLE;
+                    default -> throw new MalformedJobException("urgency");
                 };
         long pieces = whole(m, "pieces");
-        if (pieces < 1 || pieces > Constants.TASKS_MAX) {
-            throw new Malformed("pieces");
+        if (pieces < 1 || pieces > Constants.MAX_TASKS_PER_JOB) {
+            throw new MalformedJobException("pieces");
         }
         List<String> builds = null;
         Object b = m.get("builds");
         if (b != null) {
             if (!(b instanceof List<?> l)) {
-                throw new Malformed("builds");
+                throw new MalformedJobException("builds");
             }
             builds = new ArrayList<>();
             for (Object o : l) {
-                if (!(o instanceof String s) || s.isEmpty() || s.length() > Constants.NAME_MAX) {
-                    throw new Malformed("builds");
+                if (!(o instanceof String s) || s.isEmpty() || s.length() > Constants.MAX_NAME_CHARS) {
+                    throw new MalformedJobException("builds");
                 }
                 builds.add(s);
             }
             if (builds.size() > 40) {
-                throw new Malformed("builds");
+                throw new MalformedJobException("builds");
             }
         }
         double cpus = amount(m, "vcpus");
@@ -106,45 +106,45 @@
                 nowMs);
     }
 
-    private static String text(Map<String, Object> m, String k) throws Malformed {
-        if (m.get(k) instanceof String s && !s.isEmpty() && s.length() <= Constants.NAME_MAX) {
+    private static String text(Map<String, Object> m, String k) throws MalformedJobException {
+        if (m.get(k) instanceof String s && !s.isEmpty() && s.length() <= Constants.MAX_NAME_CHARS) {
             return s;
         }
-        throw new Malformed(k);
+        throw new MalformedJobException(k);
     }
 
-    private static boolean flag(Map<String, Object> m, String k) throws Malformed {
+    private static boolean flag(Map<String, Object> m, String k) throws MalformedJobException {
         if (m.get(k) instanceof Boolean b) {
             return b;
         }
-        throw new Malformed(k);
+        throw new MalformedJobException(k);
     }
 
-    private static long whole(Map<String, Object> m, String k) throws Malformed {
+    private static long whole(Map<String, Object> m, String k) throws MalformedJobException {
         if (m.get(k) instanceof Long n) {
             return n;
         }
-        throw new Malformed(k);
+        throw new MalformedJobException(k);
     }
 
-    private static double amount(Map<String, Object> m, String k) throws Malformed {
+    private static double amount(Map<String, Object> m, String k) throws MalformedJobException {
         if (m.get(k) instanceof Number n && Double.isFinite(n.doubleValue()) && n.doubleValue() >= 0) {
             return n.doubleValue();
         }
-        throw new Malformed(k);
+        throw new MalformedJobException(k);
     }
 
     /** Why the job can never run, or null. */
-    public static String hopeless(JobSpec s, Function<String, Team> teams, Collection<MachineType> types) {
+    public static String unschedulableReason(JobSpec s, Function<String, Team> teams, Collection<MachineType> types) {
         Team t = teams.apply(s.team());
         if (t == null) {
             return "unknown team";
         }
-        if (types.stream().noneMatch(s::allows)) {
+        if (types.stream().noneMatch(s::canEverRunOn)) {
             return "a task fits no allowed machine type";
         }
         // The replicas of a service run at the same time, as a gang's tasks do.
-        if (!t.allows(s.shape() == Shape.ARRAY ? s.need() : s.whole())) {
+        if (!t.isWithinLimit(s.jobType() == JobType.ARRAY ? s.request() : s.totalRequest())) {
             return "needs more than the team's limit";
         }
         return null;
--- a/src/main/java/org/mountlug/api/JobStatus.java
+++ b/src/main/java/org/mountlug/api/JobStatus.java
@@ -12,7 +12,7 @@
     CANCELLED;
 
     /** The state of a job that is over. */
-    static JobStatus ended(boolean done) {
+    static JobStatus ofFinished(boolean done) {
         return done ? DONE : CANCELLED;
     }
 }
--- a/src/main/java/org/mountlug/api/SubmissionCheck.java
+++ b/src/main/java/org/mountlug/api/SubmissionValidator.java
@@ -8,24 +8,24 @@
 import org.mountlug.core.model.MachineType;
 import org.mountlug.core.model.Team;
 import org.mountlug.settings.Settings;
-import org.mountlug.store.RecordCodec;
+import org.mountlug.store.JobRecordCodec;
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Fields;
 
 /** Judges whether a submission can be read and its job can run, before anything else is decided of it. */
-final class SubmissionCheck {
+final class SubmissionValidator {
     /** A submission that cannot be taken in, with the answer that its user gets. */
-    static final class Rejected extends Exception {
+    static final class RejectedSubmissionException extends Exception {
         private static final long serialVersionUID = 1;
 
-        private final transient UserAnswer answer;
+        private final transient UserResponse answer;
 
-        Rejected(UserAnswer answer) {
+        RejectedSubmissionException(UserResponse answer) {
             super(String.valueOf(answer));
             this.answer = answer;
         }
 
-        UserAnswer answer() {
+        UserResponse answer() {
             return answer;
         }
     }
@@ -33,16 +33,16 @@
     private final Map<String, Team> teams = new HashMap<>();
     private final int recordBytes;
 
-    SubmissionCheck(Settings settings) {
+    SubmissionValidator(Settings settings) {
         for (Team team : settings.teams()) {
             teams.put(team.name(), team);
         }
-        recordBytes = (int) (settings.leastValueKb() * 1024 * Constants.VALUE_FILL);
+        recordBytes = (int) (settings.strictestValueLimitKb() * 1024 * Constants.VALUE_FILL_SHARE);
     }
 
     /** Reads the fields of a body, of which only the id has been checked. */
-    static Map<String, Object> fields(byte[] body) throws Rejected {
-        if (body.length > Constants.BODY_MAX) {
+    static Map<String, Object> parseFields(byte[] body) throws RejectedSubmissionException {
+        if (body.length > Constants.MAX_BODY_BYTES) {
             throw malformed("body over 64 KiB");
         }
         Map<String, Object> fields;
@@ -51,35 +51,36 @@
         } catch (IOException | RuntimeException e) {
             throw malformed("not a CBOR map");
         }
-        if (!JobParser.validId(Fields.str(fields, "nameId"))) {
+        if (!JobParser.isValidId(Fields.getString(fields, "nameId"))) {
             throw malformed("nameId");
         }
         return fields;
     }
 
     /** The job as it will be recorded; {@code types} are the machine types by name, empty while they are not known. */
-    JobSpec job(Map<String, Object> fields, Map<String, MachineType> types, long nowMs) throws Rejected {
+    JobSpec toJobSpec(Map<String, Object> fields, Map<String, MachineType> types, long nowMs)
+            throws RejectedSubmissionException {
         JobSpec spec;
         try {
             spec = JobParser.parse(fields, nowMs);
-        } catch (JobParser.Malformed e) {
+        } catch (JobParser.MalformedJobException e) {
             throw malformed(e.getMessage());
         }
         if (types.isEmpty()) {
-            throw new Rejected(UserAnswer.unavailable());
+            throw new RejectedSubmissionException(UserResponse.unavailable());
         }
-        String hopeless = JobParser.hopeless(spec, teams::get, types.values());
+        String hopeless = JobParser.unschedulableReason(spec, teams::get, types.values());
         if (hopeless != null) {
-            throw new Rejected(new UserAnswer.Unschedulable(hopeless));
+            throw new RejectedSubmissionException(new UserResponse.Unschedulable(hopeless));
         }
-        JobSpec shortened = RecordCodec.fits(spec, recordBytes) ? spec : spec.narrowed(types.keySet());
-        if (!RecordCodec.fits(shortened, recordBytes)) {
+        JobSpec shortened = JobRecordCodec.fits(spec, recordBytes) ? spec : spec.withKnownMachineTypes(types.keySet());
+        if (!JobRecordCodec.fits(shortened, recordBytes)) {
             throw malformed("description too long for the state service's limit");
         }
         return shortened;
     }
 
-    private static Rejected malformed(String problem) {
-        return new Rejected(new UserAnswer.Malformed(problem));
+    private static RejectedSubmissionException malformed(String problem) {
+        return new RejectedSubmissionException(new UserResponse.Malformed(problem));
     }
 }
--- a/src/main/java/org/mountlug/api/Users.java
+++ b/src/main/java/org/mountlug/api/UserRequestHandler.java
@@ -7,38 +7,38 @@
 import org.mountlug.core.model.JobSpec;
 import org.mountlug.node.Controller;
 import org.mountlug.settings.Settings;
-import org.mountlug.store.Change;
-import org.mountlug.store.RecordCodec;
+import org.mountlug.store.JobRecordCodec;
 import org.mountlug.store.StateClient;
 import org.mountlug.store.StateKeys;
+import org.mountlug.store.Transaction;
 import org.mountlug.wire.Fields;
-import org.mountlug.wire.Http;
+import org.mountlug.wire.PooledHttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What users ask: submissions, polls and aborts, on any node, each decided by the job's record. */
-public final class Users {
-    private static final Logger LOG = LoggerFactory.getLogger(Users.class);
+public final class UserRequestHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
 
     /** How an answer leaves. */
     public interface Reply {
         /** Answers the request; called once. */
-        void send(UserAnswer answer);
+        void send(UserResponse answer);
     }
 
     private final Controller node;
     private final StateClient state;
     private final LongSupplier epochMs;
     private final JobLookup jobs;
-    private final SubmissionCheck check;
+    private final SubmissionValidator check;
 
     /** Decides the requests of users that reach this controller. */
-    public Users(Controller node, StateClient state, Settings settings, LongSupplier epochMs) {
+    public UserRequestHandler(Controller node, StateClient state, Settings settings, LongSupplier epochMs) {
         this.node = node;
         this.state = state;
         this.epochMs = epochMs;
         this.jobs = new JobLookup(node, state);
-        this.check = new SubmissionCheck(settings);
+        this.check = new SubmissionValidator(settings);
     }
 
     // ---- polls --------------------------------------------------------------------------------------------------
@@ -48,62 +48,62 @@
         if (refusedAfterStandstill(reply)) {
             return;
         }
-        if (!JobParser.validId(jobId)) {
-            reply.send(new UserAnswer.UnknownJob());
+        if (!JobParser.isValidId(jobId)) {
+            reply.send(new UserResponse.UnknownJob());
             return;
         }
         if (answeredFromCache(jobId, reply)) {
             return;
         }
-        if (!state.takeRead()) {
-            reply.send(UserAnswer.overBudget());
+        if (!state.tryAcquireRead()) {
+            reply.send(UserResponse.rateLimited());
             return;
         }
-        answerKnown(jobId, reply, new UserAnswer.UnknownJob());
+        answerKnown(jobId, reply, new UserResponse.UnknownJob());
     }
 
     /** Refuses at once what may have waited in its socket until nobody waits for the answer. */
     private boolean refusedAfterStandstill(Reply reply) {
-        boolean refused = node.shedsRequests();
+        boolean refused = node.isSheddingRequests();
         if (refused) {
-            reply.send(UserAnswer.unavailable());
+            reply.send(UserResponse.unavailable());
         }
         return refused;
     }
 
     private boolean answeredFromCache(String jobId, Reply reply) {
-        Boolean done = node.finalState(jobId);
+        Boolean done = node.cachedFinalState(jobId);
         if (done == null) {
             return false;
         }
-        int tasks = done ? node.finalTasks(jobId) : 0;
-        reply.send(new UserAnswer.JobState(jobId, JobStatus.ended(done), tasks, 0));
+        int tasks = done ? node.cachedTaskCount(jobId) : 0;
+        reply.send(new UserResponse.JobState(jobId, JobStatus.ofFinished(done), tasks, 0));
         return true;
     }
 
     /** Answers with the job's current state, or as given if no such job was ever accepted. */
-    private void answerKnown(String jobId, Reply reply, UserAnswer ifUnknown) {
+    private void answerKnown(String jobId, Reply reply, UserResponse ifUnknown) {
         jobs.find(jobId, found -> {
-            if (found instanceof JobLookup.Found.Live live) {
+            if (found instanceof JobLookup.Result.Live live) {
                 answerLive(jobId, live.record(), reply);
-            } else if (found instanceof JobLookup.Found.Finished) {
+            } else if (found instanceof JobLookup.Result.Finished) {
                 answeredFromCache(jobId, reply);
-            } else if (found instanceof JobLookup.Found.Unknown) {
+            } else if (found instanceof JobLookup.Result.Unknown) {
                 reply.send(ifUnknown);
             } else {
-                reply.send(UserAnswer.unavailable());
+                reply.send(UserResponse.unavailable());
             }
         });
     }
 
     private void answerLive(String jobId, Map<String, Object> record, Reply reply) {
-        if (RecordCodec.cancelled(record)) {
+        if (JobRecordCodec.isCancelled(record)) {
             answerCancelled(jobId, reply);
             return;
         }
-        RecordCodec.TaskCounts counts = RecordCodec.counts(record);
+        JobRecordCodec.TaskCounts counts = JobRecordCodec.taskCounts(record);
         JobStatus status = counts.placed() > 0 ? JobStatus.RUNNING : JobStatus.PENDING;
-        reply.send(new UserAnswer.JobState(jobId, status, counts.done(), counts.placed()));
+        reply.send(new UserResponse.JobState(jobId, status, counts.done(), counts.placed()));
     }
 
     /**
@@ -112,33 +112,33 @@
      * them may be the first to tell, and from then on {@code cancel_s} counts: first the leader must be able to know.
      */
     private void answerCancelled(String jobId, Reply reply) {
-        node.abortAccepted(jobId);
-        reply.send(new UserAnswer.JobState(jobId, JobStatus.CANCELLED, 0, 0));
+        node.recordCancellation(jobId);
+        reply.send(new UserResponse.JobState(jobId, JobStatus.CANCELLED, 0, 0));
     }
 
     // ---- submissions --------------------------------------------------------------------------------------------
 
     /** Takes a job in, or says why not. */
     public void submit(byte[] body, Reply reply) {
-        node.metrics().submitted();
+        node.metrics().countSubmission();
         if (refusedAfterStandstill(reply)) {
             return;
         }
         Map<String, Object> fields;
         try {
-            fields = SubmissionCheck.fields(body);
-        } catch (SubmissionCheck.Rejected e) {
+            fields = SubmissionValidator.parseFields(body);
+        } catch (SubmissionValidator.RejectedSubmissionException e) {
             reply.send(e.answer());
             return;
         }
-        String jobId = Fields.str(fields, "nameId");
+        String jobId = Fields.getString(fields, "nameId");
         if (answeredFromCache(jobId, reply)) {
             return;
         }
         JobSpec spec;
         try {
-            spec = check.job(fields, node.knownTypes(), epochMs.getAsLong());
-        } catch (SubmissionCheck.Rejected e) {
+            spec = check.toJobSpec(fields, node.machineTypes(), epochMs.getAsLong());
+        } catch (SubmissionValidator.RejectedSubmissionException e) {
             LOG.debug("rejected {}: {}", jobId, e.getMessage());
             answerRejected(jobId, e.answer(), reply);
             return;
@@ -147,11 +147,11 @@
     }
 
     /** An accepted job stays accepted, whatever a repeated body looks like; only the look-up is taken from a budget. */
-    private void answerRejected(String jobId, UserAnswer answer, Reply reply) {
-        if (state.takeSubmission()) {
+    private void answerRejected(String jobId, UserResponse answer, Reply reply) {
+        if (state.tryAcquireSubmission()) {
             answerKnown(jobId, reply, answer);
         } else {
-            reply.send(UserAnswer.overBudget());
+            reply.send(UserResponse.rateLimited());
         }
     }
 
@@ -160,30 +160,30 @@
         if (decision instanceof AdmissionDecision.Admit) {
             create(spec, reply);
         } else if (decision instanceof AdmissionDecision.Defer defer) {
-            node.metrics().deferred(spec.team());
-            reply.send(new UserAnswer.Deferred(defer.retryAfterS(), defer.isFinal()));
-        } else if (decision instanceof AdmissionDecision.Undecided undecided) {
-            reply.send(new UserAnswer.Unavailable(undecided.retryAfterS()));
+            node.metrics().countDeferredSubmission(spec.team());
+            reply.send(new UserResponse.Deferred(defer.retryAfterS(), defer.turnIsFinal()));
+        } else if (decision instanceof AdmissionDecision.RetryLater undecided) {
+            reply.send(new UserResponse.Unavailable(undecided.retryAfterS()));
         } else {
-            reply.send(UserAnswer.overBudget());
+            reply.send(UserResponse.rateLimited());
         }
     }
 
     /** Writes the job's record unless there is one; whoever comes second answers with what the first one wrote. */
     private void create(JobSpec spec, Reply reply) {
         String jobId = spec.id();
-        Change change = new Change()
-                .guard(StateKeys.LIVE + jobId, 0)
-                .guard(StateKeys.FINAL + jobId, 0)
-                .put(StateKeys.LIVE + jobId, RecordCodec.fresh(spec));
+        Transaction change = new Transaction()
+                .requireRevision(StateKeys.LIVE_JOBS + jobId, 0)
+                .requireRevision(StateKeys.FINAL_RECORDS + jobId, 0)
+                .put(StateKeys.LIVE_JOBS + jobId, JobRecordCodec.newRecord(spec));
         state.commit(change, answer -> {
             if (answer.status() == 200) {
-                reply.send(new UserAnswer.Accepted(jobId));
+                reply.send(new UserResponse.Accepted(jobId));
             } else if (answer.status() == 409) {
-                state.spendRequest();
-                answerKnown(jobId, reply, UserAnswer.unavailable());
+                state.chargeRequest();
+                answerKnown(jobId, reply, UserResponse.unavailable());
             } else {
-                reply.send(UserAnswer.unserved(answer.status()));
+                reply.send(UserResponse.forStateError(answer.status()));
             }
         });
     }
@@ -191,62 +191,63 @@
     // ---- cancellations ------------------------------------------------------------------------------------------
 
     /** Cancels a job, or answers that it is done already. */
-    public void abort(String jobId, Reply reply) {
+    public void cancel(String jobId, Reply reply) {
         if (refusedAfterStandstill(reply)) {
             return;
         }
-        if (!JobParser.validId(jobId)) {
-            reply.send(new UserAnswer.UnknownJob());
+        if (!JobParser.isValidId(jobId)) {
+            reply.send(new UserResponse.UnknownJob());
             return;
         }
-        abort(jobId, reply, Constants.ABORT_TRIES);
+        cancel(jobId, reply, Constants.MAX_CANCEL_TRIES);
     }
 
-    private void abort(String jobId, Reply reply, int triesLeft) {
+    private void cancel(String jobId, Reply reply, int triesLeft) {
         if (answeredFromCache(jobId, reply)) {
             return;
         }
         if (triesLeft == 0) {
-            reply.send(UserAnswer.unavailable());
+            reply.send(UserResponse.unavailable());
             return;
         }
-        if (!node.admission().takeCancellation()) {
-            reply.send(UserAnswer.overBudget());
+        if (!node.admission().tryAcquireCancellation()) {
+            reply.send(UserResponse.rateLimited());
             return;
         }
         jobs.find(jobId, found -> {
-            if (found instanceof JobLookup.Found.Live live) {
+            if (found instanceof JobLookup.Result.Live live) {
                 abortLive(jobId, live, reply, triesLeft);
-            } else if (found instanceof JobLookup.Found.Finished) {
+            } else if (found instanceof JobLookup.Result.Finished) {
                 answeredFromCache(jobId, reply);
-            } else if (found instanceof JobLookup.Found.Unknown) {
-                reply.send(new UserAnswer.UnknownJob());
+            } else if (found instanceof JobLookup.Result.Unknown) {
+                reply.send(new UserResponse.UnknownJob());
             } else {
-                reply.send(UserAnswer.unavailable());
+                reply.send(UserResponse.unavailable());
             }
         });
     }
 
-    private void abortLive(String jobId, JobLookup.Found.Live live, Reply reply, int triesLeft) {
-        if (RecordCodec.cancelled(live.record())) {
+    private void abortLive(String jobId, JobLookup.Result.Live live, Reply reply, int triesLeft) {
+        if (JobRecordCodec.isCancelled(live.record())) {
             answerCancelled(jobId, reply);
             return;
         }
-        Map<String, Object> cancelled = RecordCodec.withCancellation(live.record());
-        state.spendRequest();
-        Change change =
-                new Change().guard(StateKeys.LIVE + jobId, live.revision()).put(StateKeys.LIVE + jobId, cancelled);
+        Map<String, Object> cancelled = JobRecordCodec.withCancellation(live.record());
+        state.chargeRequest();
+        Transaction change = new Transaction()
+                .requireRevision(StateKeys.LIVE_JOBS + jobId, live.revision())
+                .put(StateKeys.LIVE_JOBS + jobId, cancelled);
         state.commit(change, answer -> abortWritten(jobId, answer, reply, triesLeft));
     }
 
-    private void abortWritten(String jobId, Http.Answer answer, Reply reply, int triesLeft) {
+    private void abortWritten(String jobId, PooledHttpClient.Response answer, Reply reply, int triesLeft) {
         if (answer.status() == 200) {
             answerCancelled(jobId, reply);
         } else if (answer.status() == 409) {
-            abort(jobId, reply, triesLeft - 1);
+            cancel(jobId, reply, triesLeft - 1);
         } else {
             // 400: too large to be written back since the limits were lowered; the leader rewrites such records first.
-            reply.send(UserAnswer.unserved(answer.status()));
+            reply.send(UserResponse.forStateError(answer.status()));
         }
     }
 }
--- a/src/main/java/org/mountlug/cli/Rehearsal.java
+++ b/src/main/java/org/mountlug/cli/CdsTrainingRun.java
@@ -6,17 +6,17 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.mountlug.node.Daemon;
-import org.mountlug.settings.Operators;
+import org.mountlug.node.ControllerServer;
+import org.mountlug.settings.ControllerSizing;
+import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
-import org.mountlug.settings.Sizes;
 
 /**
  * A controller's start and its first second, run once by the build so that the classes it needs land in the class-data
  * archive. Starting from the archive saves most of the time for which a crashed controller is missed.
  */
-final class Rehearsal {
-    private Rehearsal() {}
+final class CdsTrainingRun {
+    private CdsTrainingRun() {}
 
     private static final String SETTINGS = """
             label = "a"
@@ -77,23 +77,25 @@
                 Files.deleteIfExists(own);
                 Files.deleteIfExists(directory);
             }
-        } catch (IOException | InterruptedException | Settings.Invalid e) {
+        } catch (IOException | InterruptedException | Settings.InvalidSettingException e) {
             System.err.println("rehearsal failed: " + e);
             return 1;
         }
     }
 
-    private static void rehearse(Path platform, Path own) throws IOException, InterruptedException, Settings.Invalid {
+    private static void rehearse(Path platform, Path own)
+            throws IOException, InterruptedException, Settings.InvalidSettingException {
         int[] ports = freePorts();
         Files.writeString(platform, SETTINGS.formatted(ports[0], ports[1], ports[4], ports[5], ports[2], ports[3]));
         Files.writeString(own, OPERATORS);
-        Operators operators = Operators.load(own);
+        OperatorSettings operators = OperatorSettings.load(own);
         Settings settings = Settings.load(platform, operators);
         // One peer answers, the other refuses connections, as after a crash.
-        try (StandIns standIns = new StandIns(ports[3], ports[2], ports[4])) {
-            standIns.versionsOf("b", "c");
-            List<String> sizes = Sizes.check(settings, Runtime.getRuntime().maxMemory() / 1048576.0);
-            Daemon controller = new Daemon(settings, operators, sizes);
+        try (FakeServices standIns = new FakeServices(ports[3], ports[2], ports[4])) {
+            standIns.announceVersions("b", "c");
+            List<String> sizes =
+                    ControllerSizing.check(settings, Runtime.getRuntime().maxMemory() / 1048576.0);
+            ControllerServer controller = new ControllerServer(settings, operators, sizes);
             controller.start();
             standIns.exercise(ports[0]);
             controller.stop();
--- a/src/main/java/org/mountlug/cli/PeerStandIn.java
+++ b/src/main/java/org/mountlug/cli/FakePeer.java
@@ -11,10 +11,10 @@
 import org.xnio.IoUtils;
 
 /** Another controller, as far as a rehearsal needs one: it answers each question and knows of no leader. */
-final class PeerStandIn implements AutoCloseable {
+final class FakePeer implements AutoCloseable {
     private final ServerSocket server;
 
-    PeerStandIn(int port) throws IOException {
+    FakePeer(int port) throws IOException {
         server = new ServerSocket(port, 4, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(this::accept, "peer stand-in");
         thread.setDaemon(true);
@@ -35,8 +35,8 @@
         DataInputStream in = new DataInputStream(connection.getInputStream());
         while (true) {
             in.readInt(); // the length of a question, which is always the same
-            ByteBuffer frame =
-                    PeerCodec.answer(new PeerCodec.Answer(in.readLong(), 1, true, 0, 0, false, List.of("wk-000001")));
+            ByteBuffer frame = PeerCodec.writeResponse(
+                    new PeerCodec.StatusResponse(in.readLong(), 1, true, 0, 0, false, List.of("wk-000001")));
             connection.getOutputStream().write(frame.array(), 0, frame.limit());
         }
     }
--- a/src/main/java/org/mountlug/cli/StandIns.java
+++ b/src/main/java/org/mountlug/cli/FakeServices.java
@@ -21,18 +21,18 @@
 import org.mountlug.wire.Fields;
 
 /** The least of a state service, a cloud and a peer that a rehearsal needs, kept in memory on loopback. */
-final class StandIns implements AutoCloseable {
+final class FakeServices implements AutoCloseable {
     private record Row(Object value, long stamp) {}
 
     private final HttpServer state;
     private final HttpServer cloud;
-    private final PeerStandIn peer;
+    private final FakePeer peer;
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private long epoch = 1;
 
-    StandIns(int statePort, int cloudPort, int peerPort) throws IOException {
-        peer = new PeerStandIn(peerPort);
+    FakeServices(int statePort, int cloudPort, int peerPort) throws IOException {
+        peer = new FakePeer(peerPort);
         state = serve(statePort);
         cloud = serve(cloudPort);
         state.createContext("/kv", this::read);
@@ -65,9 +65,9 @@
     }
 
     /** Holds that these controllers read the layout of records that this version writes. */
-    synchronized void versionsOf(String... labels) {
+    synchronized void announceVersions(String... labels) {
         for (String label : labels) {
-            rows.put(StateKeys.VERSIONS + label, new Row(VersionCodec.announce(), ++epoch));
+            rows.put(StateKeys.VERSIONS + label, new Row(VersionCodec.announcement(), ++epoch));
         }
     }
 
@@ -110,10 +110,10 @@
     private synchronized void multi(HttpExchange x) throws IOException {
         Map<String, Object> m = Cbor.readMap(x.getRequestBody().readAllBytes());
         List<Object> failed = new ArrayList<>();
-        for (Object o : Fields.list(m, "guards")) {
-            Map<String, Object> g = Fields.map(o);
-            Row r = rows.get(Fields.str(g, "k"));
-            if ((r == null ? 0 : r.stamp) != Fields.num(g, "stamp", 0)) {
+        for (Object o : Fields.getList(m, "guards")) {
+            Map<String, Object> g = Fields.asMap(o);
+            Row r = rows.get(Fields.getString(g, "k"));
+            if ((r == null ? 0 : r.stamp) != Fields.getLong(g, "stamp", 0)) {
                 failed.add(g.get("k"));
             }
         }
@@ -122,12 +122,12 @@
             return;
         }
         epoch++;
-        for (Object o : Fields.list(m, "writes")) {
-            Map<String, Object> w = Fields.map(o);
+        for (Object o : Fields.getList(m, "writes")) {
+            Map<String, Object> w = Fields.asMap(o);
             if (w.containsKey("put")) {
-                rows.put(Fields.str(w, "put"), new Row(w.get("v"), epoch));
+                rows.put(Fields.getString(w, "put"), new Row(w.get("v"), epoch));
             } else {
-                rows.remove(Fields.str(w, "delete"));
+                rows.remove(Fields.getString(w, "delete"));
             }
         }
         reply(x, 200, Map.of("epoch", epoch));
@@ -197,15 +197,15 @@
             b.put("baton", token);
             b.put("pieces", running);
             Map<String, Object> a = body(port, b);
-            token = Fields.num(a, "baton", token);
-            for (Object o : Fields.list(a, "orders")) {
-                Map<String, Object> c = Fields.map(o);
+            token = Fields.getLong(a, "baton", token);
+            for (Object o : Fields.getList(a, "orders")) {
+                Map<String, Object> c = Fields.asMap(o);
                 Map<String, Object> t = new LinkedHashMap<>();
                 t.put("piece", c.get("piece"));
                 t.put("try", c.get("try"));
                 t.put("status", "exited");
                 t.put("cause", "done");
-                running.removeIf(r -> Fields.map(r).get("piece").equals(c.get("piece")));
+                running.removeIf(r -> Fields.asMap(r).get("piece").equals(c.get("piece")));
                 if ("start".equals(c.get("verb"))) {
                     running.add(t);
                 }
--- a/src/main/java/org/mountlug/cli/Main.java
+++ b/src/main/java/org/mountlug/cli/Main.java
@@ -2,10 +2,10 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import org.mountlug.node.Daemon;
-import org.mountlug.settings.Operators;
+import org.mountlug.node.ControllerServer;
+import org.mountlug.settings.ControllerSizing;
+import org.mountlug.settings.OperatorSettings;
 import org.mountlug.settings.Settings;
-import org.mountlug.settings.Sizes;
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Model.OptionSpec;
@@ -91,24 +91,25 @@
         ParseResult sub = r.subcommand();
         String name = sub.commandSpec().name();
         if (name.equals("rehearse")) {
-            return Rehearsal.run();
+            return CdsTrainingRun.run();
         }
         Path config = sub.matchedOptionValue("--config", (Path) null);
         Path own = sub.matchedOptionValue("--operators", (Path) null);
         try {
-            Operators operators = own == null ? Operators.defaults() : Operators.load(own);
+            OperatorSettings operators = own == null ? OperatorSettings.defaults() : OperatorSettings.load(own);
             Settings settings = Settings.load(config, operators);
-            List<String> sizes = Sizes.check(settings, Runtime.getRuntime().maxMemory() / 1048576.0);
+            List<String> sizes =
+                    ControllerSizing.check(settings, Runtime.getRuntime().maxMemory() / 1048576.0);
             if (name.equals("check")) {
                 sizes.forEach(System.out::println);
-                operators.inForce().forEach(System.out::println);
+                operators.effectiveValues().forEach(System.out::println);
                 System.out.println("settings of " + settings.label() + " are good");
                 return 0;
             }
-            logging(operators.logTimes());
-            new Daemon(settings, operators, sizes).start();
+            logging(operators.logTimestamps());
+            new ControllerServer(settings, operators, sizes).start();
             return -1;
-        } catch (Settings.Invalid e) {
+        } catch (Settings.InvalidSettingException e) {
             System.err.println(e.getMessage());
             return BAD_SETTINGS;
         } catch (java.io.IOException | RuntimeException e) {
--- a/src/main/java/org/mountlug/cloud/CloudCodec.java
+++ b/src/main/java/org/mountlug/cloud/CloudCodec.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.mountlug.core.model.MachineType;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.scale.Listed;
-import org.mountlug.core.scale.Rental;
+import org.mountlug.core.scale.ListedMachine;
+import org.mountlug.core.scale.RentalRequest;
 import org.mountlug.wire.Fields;
 
 /** The cloud's messages; the only place that knows their field names. */
@@ -15,41 +15,44 @@
     private CloudCodec() {}
 
     /** Reads the machine types, from the cloud or as the state service keeps them. */
-    public static List<MachineType> catalogue(Map<String, Object> m) {
+    public static List<MachineType> readMachineTypes(Map<String, Object> m) {
         List<MachineType> out = new ArrayList<>();
-        for (Object o : Fields.list(m, "builds")) {
-            Map<String, Object> b = Fields.map(o);
-            String name = Fields.str(b, "name");
+        for (Object o : Fields.getList(m, "builds")) {
+            Map<String, Object> b = Fields.asMap(o);
+            String name = Fields.getString(b, "name");
             if (name == null) {
                 continue;
             }
-            List<String> zones = Fields.strings(b, "sites");
+            List<String> zones = Fields.getStrings(b, "sites");
             out.add(new MachineType(
                     name,
-                    new Resources(Fields.dec(b, "vcpus", 0), Fields.dec(b, "cards", 0), Fields.dec(b, "ramGb", 0)),
-                    Fields.dec(b, "cacheGb", 0),
-                    Fields.dec(b, "fetchGbPerS", 1),
-                    Fields.dec(b, "price", 1),
-                    Fields.dec(b, "marketPrice", Fields.dec(b, "price", 1)),
-                    Fields.dec(b, "bootS", 60),
+                    new Resources(
+                            Fields.getDouble(b, "vcpus", 0),
+                            Fields.getDouble(b, "cards", 0),
+                            Fields.getDouble(b, "ramGb", 0)),
+                    Fields.getDouble(b, "cacheGb", 0),
+                    Fields.getDouble(b, "fetchGbPerS", 1),
+                    Fields.getDouble(b, "price", 1),
+                    Fields.getDouble(b, "marketPrice", Fields.getDouble(b, "price", 1)),
+                    Fields.getDouble(b, "bootS", 60),
                     zones == null ? List.of() : List.copyOf(zones)));
         }
         return out;
     }
 
     /** The catalogue as kept in the state service, for nodes that start while the cloud is down. */
-    public static Map<String, Object> catalogue(List<MachineType> types) {
+    public static Map<String, Object> writeMachineTypes(List<MachineType> types) {
         List<Object> l = new ArrayList<>();
         for (MachineType t : types) {
             Map<String, Object> b = new LinkedHashMap<>();
             b.put("name", t.name());
-            b.put("vcpus", t.size().cpus());
-            b.put("cards", t.size().gpus());
-            b.put("ramGb", t.size().ramGb());
-            b.put("cacheGb", t.cacheGb());
+            b.put("vcpus", t.capacity().cpus());
+            b.put("cards", t.capacity().gpus());
+            b.put("ramGb", t.capacity().ramGb());
+            b.put("cacheGb", t.imageCacheGb());
             b.put("fetchGbPerS", t.fetchGbPerS());
-            b.put("price", t.price());
-            b.put("marketPrice", t.spotPrice());
+            b.put("price", t.onDemandPricePerHour());
+            b.put("marketPrice", t.spotPricePerHour());
             b.put("bootS", t.bootS());
             b.put("sites", t.zones());
             l.add(b);
@@ -60,7 +63,7 @@
     }
 
     /** The body of a rental request. */
-    public static Map<String, Object> rent(Rental r) {
+    public static Map<String, Object> rentalRequest(RentalRequest r) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("hire", r.name());
         m.put("build", r.type());
@@ -71,45 +74,45 @@
     }
 
     /** The names of the machines that a rental has brought. */
-    public static List<String> rented(Map<String, Object> m) {
-        List<String> l = Fields.strings(m, "rigs");
+    public static List<String> rentedNames(Map<String, Object> m) {
+        List<String> l = Fields.getStrings(m, "rigs");
         return l == null ? List.of() : l;
     }
 
     /** The body of a request to return machines. */
-    public static Map<String, Object> release(List<String> names) {
+    public static Map<String, Object> returnRequest(List<String> names) {
         return Map.of("rigs", names);
     }
 
     /** The machines of one page of the list. */
-    public static List<Listed> listed(Map<String, Object> m) {
-        List<Listed> out = new ArrayList<>();
-        for (Object o : Fields.list(m, "rigs")) {
-            Map<String, Object> r = Fields.map(o);
-            String name = Fields.str(r, "nameId");
+    public static List<ListedMachine> listedMachines(Map<String, Object> m) {
+        List<ListedMachine> out = new ArrayList<>();
+        for (Object o : Fields.getList(m, "rigs")) {
+            Map<String, Object> r = Fields.asMap(o);
+            String name = Fields.getString(r, "nameId");
             if (name == null) {
                 continue;
             }
-            Listed.Status s =
-                    switch (Fields.str(r, "status", "")) {
-                        case "booting" -> Listed.Status.BOOTING;
-                        case "failed" -> Listed.Status.FAILED;
-                        default -> Listed.Status.RUNNING;
+            ListedMachine.Status s =
+                    switch (Fields.getString(r, "status", "")) {
+                        case "booting" -> ListedMachine.Status.BOOTING;
+                        case "failed" -> ListedMachine.Status.FAILED;
+                        default -> ListedMachine.Status.RUNNING;
                     };
-            out.add(new Listed(
+            out.add(new ListedMachine(
                     name,
-                    Fields.str(r, "address"),
-                    Fields.str(r, "build", ""),
-                    Fields.str(r, "site", ""),
-                    Fields.bool(r, "loaners"),
+                    Fields.getString(r, "address"),
+                    Fields.getString(r, "build", ""),
+                    Fields.getString(r, "site", ""),
+                    Fields.getBoolean(r, "loaners"),
                     s,
-                    Fields.dec(r, "ageS", 0)));
+                    Fields.getDouble(r, "ageS", 0)));
         }
         return out;
     }
 
     /** Whether another page of the list follows. */
-    public static boolean more(Map<String, Object> m) {
-        return Fields.bool(m, "hasNext");
+    public static boolean hasNextPage(Map<String, Object> m) {
+        return Fields.getBoolean(m, "hasNext");
     }
 }
--- a/src/main/java/org/mountlug/core/admit/AdmissionDecision.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionDecision.java
@@ -9,13 +9,13 @@
      * It is to come back after so many whole seconds.
      *
      * @param turnMs epoch milliseconds of its turn as scheduled so far
-     * @param isFinal whether that turn can no longer move, so that it is admitted when it comes back
+     * @param turnIsFinal whether that turn can no longer move, so that it is admitted when it comes back
      */
-    record Defer(int retryAfterS, long turnMs, boolean isFinal) implements AdmissionDecision {}
+    record Defer(int retryAfterS, long turnMs, boolean turnIsFinal) implements AdmissionDecision {}
 
     /** This controller's request budget is spent; it is to come back soon. */
-    record OverBudget() implements AdmissionDecision {}
+    record RateLimited() implements AdmissionDecision {}
 
     /** Nothing can be said of it at the moment; it is to come back after so many whole seconds. */
-    record Undecided(int retryAfterS) implements AdmissionDecision {}
+    record RetryLater(int retryAfterS) implements AdmissionDecision {}
 }
--- a/src/main/java/org/mountlug/core/admit/AdmissionGate.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionGate.java
@@ -13,48 +13,52 @@
     /**
      * What a gate is built for.
      *
-     * @param weights the weight of each team
-     * @param controllers how many controllers divide the capacity
-     * @param changesPerS changes a second that the state service takes
-     * @param skewMs the most by which a controller's time of day differs from the true one
+     * @param teamWeights the weight of each team
+     * @param controllerCount how many controllers divide the capacity
+     * @param writesPerS changes a second that the state service takes
+     * @param maxClockSkewMs the most by which a controller's time of day differs from the true one
      */
-    public record Deployment(Map<String, Double> weights, int controllers, double changesPerS, double skewMs) {}
+    public record Deployment(
+            Map<String, Double> teamWeights, int controllerCount, double writesPerS, double maxClockSkewMs) {}
 
     private final AdmissionSettings settings;
     private final Deployment deployment;
-    private final DemandMeter meter = new DemandMeter();
-    private final TeamBuckets buckets;
-    private AdmissionTable table = AdmissionTable.none();
-    private double confirmedS = Double.NEGATIVE_INFINITY;
+    private final DemandCounter meter = new DemandCounter();
+    private final TeamTokenBuckets buckets;
+    private AdmissionTable table = AdmissionTable.empty();
+    private double tableConfirmedAtS = Double.NEGATIVE_INFINITY;
     private double refusedS = Double.NEGATIVE_INFINITY;
 
     /** A gate that has seen no table yet. */
     public AdmissionGate(AdmissionSettings settings, Deployment deployment) {
         this.settings = settings;
         this.deployment = deployment;
-        buckets = new TeamBuckets(
-                deployment.weights(), openRatePerS(0), Constants.Admission.BURST_S, Constants.Admission.BURST_LEAST);
+        buckets = new TeamTokenBuckets(
+                deployment.teamWeights(),
+                openRatePerS(0),
+                Constants.Admission.BURST_S,
+                Constants.Admission.MIN_BURST_TOKENS);
     }
 
     /** The state service has refused a request at this time, in steady seconds, as more was asked than it takes. */
-    public void refusedByState(double atS) {
+    public void recordStateRateLimit(double atS) {
         refusedS = Math.max(refusedS, atS);
     }
 
     /** Takes in the table as the state service showed it at a time, in steady seconds. */
-    public void confirm(AdmissionTable published, double atS) {
+    public void updateTable(AdmissionTable published, double atS) {
         table = published;
-        confirmedS = Math.max(confirmedS, atS);
+        tableConfirmedAtS = Math.max(tableConfirmedAtS, atS);
     }
 
     /** The table was confirmed to be in force still. */
-    public void confirm(double atS) {
-        confirmedS = Math.max(confirmedS, atS);
+    public void confirmTable(double atS) {
+        tableConfirmedAtS = Math.max(tableConfirmedAtS, atS);
     }
 
     /** Steady seconds at which the table was last known to be in force. */
-    public double confirmedS() {
-        return confirmedS;
+    public double tableConfirmedAtS() {
+        return tableConfirmedAtS;
     }
 
     /** The table that decides. */
@@ -74,51 +78,54 @@
      * @param nowS steady seconds
      */
     public AdmissionDecision decide(QueueId queue, String jobId, long nowMs, double nowS) {
-        if (nowS - confirmedS > settings.staleViewS()) {
-            return new AdmissionDecision.Undecided(1 + HashRing.spread(jobId, Constants.Admission.STALE_RETRY_S));
+        if (nowS - tableConfirmedAtS > settings.staleViewS()) {
+            return new AdmissionDecision.RetryLater(
+                    1 + HashRing.jitter(jobId, Constants.Admission.STALE_VIEW_RETRY_SPREAD_S));
         }
-        meter.asked(queue);
+        meter.recordSubmission(queue);
         CursorSchedule schedule = table.schedule(queue, nowMs);
-        if (schedule != null && !hasTurn(schedule, HashRing.place(jobId), nowMs)) {
+        if (schedule != null && !hasTurn(schedule, HashRing.slotOf(jobId), nowMs)) {
             return defer(schedule, jobId, nowMs);
         }
         double ratePerS = ratePerS(nowMs, nowS);
-        buckets.fill(ratePerS, nowS);
+        buckets.refill(ratePerS, nowS);
         double overdraft = schedule == null ? 0 : ratePerS * Constants.Admission.OVERDRAFT_S;
         if (schedule == null || metJustNow(schedule, jobId, nowMs)) {
-            meter.met(queue);
+            meter.recordArrival(queue);
         }
-        if (buckets.take(queue, overdraft)) {
+        if (buckets.tryAcquire(queue, overdraft)) {
             return new AdmissionDecision.Admit();
         }
-        meter.refused(queue);
-        int retryAfterS = schedule != null ? 1 : 1 + HashRing.spread(jobId, Constants.Admission.UNDECIDED_RETRY_S);
-        return new AdmissionDecision.Undecided(retryAfterS);
+        meter.recordThrottled(queue);
+        int retryAfterS =
+                schedule != null ? 1 : 1 + HashRing.jitter(jobId, Constants.Admission.UNDECIDED_RETRY_SPREAD_S);
+        return new AdmissionDecision.RetryLater(retryAfterS);
     }
 
     /** Pays for a cancellation, which waits for no token; submissions do instead. */
-    public void spendForCancellation(long nowMs, double nowS) {
+    public void chargeCancellation(long nowMs, double nowS) {
         double ratePerS = ratePerS(nowMs, nowS);
-        buckets.fill(ratePerS, nowS);
-        buckets.spend(ratePerS);
+        buckets.refill(ratePerS, nowS);
+        buckets.charge(ratePerS);
     }
 
     /** The clock that told of the turn may have been behind this one, or ahead of it, by twice the skew. */
     private long skewMs() {
-        return (long) Math.ceil(2 * deployment.skewMs());
+        return (long) Math.ceil(2 * deployment.maxClockSkewMs());
     }
 
     private boolean hasTurn(CursorSchedule schedule, int place, long nowMs) {
-        return schedule.passes(place, nowMs - Constants.Admission.GRACE_MS - skewMs(), nowMs + skewMs());
+        return schedule.passes(place, nowMs - Constants.Admission.TURN_DURATION_MS - skewMs(), nowMs + skewMs());
     }
 
     /** Whether the turn came so lately that nobody can have been turned away at it and be back already. */
     private boolean metJustNow(CursorSchedule schedule, String jobId, long nowMs) {
-        return schedule.passes(HashRing.place(jobId), nowMs - Constants.Admission.MET_MS, nowMs + skewMs());
+        return schedule.passes(
+                HashRing.slotOf(jobId), nowMs - Constants.Admission.FIRST_ARRIVAL_WINDOW_MS, nowMs + skewMs());
     }
 
     private AdmissionDecision defer(CursorSchedule schedule, String jobId, long nowMs) {
-        long turnMs = schedule.nextTurnMs(HashRing.place(jobId), nowMs + skewMs());
+        long turnMs = schedule.nextTurnMs(HashRing.slotOf(jobId), nowMs + skewMs());
         if (turnMs <= schedule.endMs()) {
             return new AdmissionDecision.Defer(wholeSeconds(turnMs - nowMs), turnMs, true);
         }
@@ -127,8 +134,9 @@
 
     /** When to ask again whose turn may still move: well before it, and not all at the longest time. */
     private static int lookAgainS(String jobId, long untilTurnMs) {
-        int mostS = Constants.Admission.RETRY_MOST_S - HashRing.spread(jobId, Constants.Admission.RETRY_SPREAD_S);
-        long sooner = (long) Math.min(untilTurnMs * Constants.Admission.LOOK_AGAIN_SHARE, mostS * 1000.0);
+        int mostS = Constants.Admission.MAX_RETRY_AFTER_S
+                - HashRing.jitter(jobId, Constants.Admission.RETRY_AFTER_SPREAD_S);
+        long sooner = (long) Math.min(untilTurnMs * Constants.Admission.RECHECK_SHARE, mostS * 1000.0);
         return wholeSeconds(sooner);
     }
 
@@ -138,16 +146,16 @@
 
     /** While nothing is limited more than what the leader never uses, unless that was too much just now. */
     private double openRatePerS(double nowS) {
-        boolean tooMuch = nowS - refusedS < Constants.Admission.REFUSED_S;
-        double share = tooMuch ? Constants.Admission.LEAST_SHARE : Constants.Admission.OPEN_SHARE;
-        return deployment.changesPerS() * share / deployment.controllers();
+        boolean tooMuch = nowS - refusedS < Constants.Admission.STATE_REFUSAL_WINDOW_S;
+        double share = tooMuch ? Constants.Admission.MIN_SUBMISSION_SHARE : Constants.Admission.OPEN_SUBMISSION_SHARE;
+        return deployment.writesPerS() * share / deployment.controllerCount();
     }
 
     /** Changes a second that this controller may cost. */
     private double ratePerS(long nowMs, double nowS) {
-        if (!table.limits(nowMs)) {
+        if (!table.limitsAnyQueue(nowMs)) {
             return openRatePerS(nowS);
         }
-        return table.capacityPerS() / deployment.controllers();
+        return table.capacityPerS() / deployment.controllerCount();
     }
 }
--- a/src/main/java/org/mountlug/core/admit/AdmissionPlanner.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionPlanner.java
@@ -16,7 +16,7 @@
  */
 public final class AdmissionPlanner {
     /** A team begins or ceases to have submissions deferred; the rates are of submissions a second at that time. */
-    public record TeamTransition(String team, boolean deferred, double askedPerS, double admittedPerS) {}
+    public record DeferralTransition(String team, boolean deferred, double submissionsPerS, double admittedPerS) {}
 
     private record Counts(long boot, double heardS, Map<QueueId, QueueDemand> byQueue) {}
 
@@ -26,7 +26,7 @@
     private final Map<QueueId, QueueRates> rates = new TreeMap<>();
     private final Map<QueueId, LimitedQueue> limited = new TreeMap<>();
     private final Map<QueueId, LimitedQueue> released = new HashMap<>();
-    private final List<TeamTransition> transitions = new ArrayList<>();
+    private final List<DeferralTransition> transitions = new ArrayList<>();
     private long plannedMs = -1;
     /** Steady seconds at which a controller was heard that had not been before. */
     private double joinedS = Double.NEGATIVE_INFINITY;
@@ -44,7 +44,7 @@
 
     /** Goes on with the table of an earlier leader: its schedules are kept, as turns were told by them. */
     public void restore(AdmissionTable table, long nowMs) {
-        if (!table.limits(nowMs)) {
+        if (!table.limitsAnyQueue(nowMs)) {
             return;
         }
         double admittedPerS = table.capacityPerS() / table.schedules().size();
@@ -55,10 +55,11 @@
     }
 
     /** Takes in what a controller has counted since its process, which {@code boot} names, began. */
-    public void observe(String controller, long boot, List<QueueDemand> demand, double nowS) {
+    public void observeDemand(String controller, long incarnation, List<QueueDemand> demand, double nowS) {
         Counts before = heard.get(controller);
-        boolean goesOn =
-                before != null && before.boot() == boot && nowS - before.heardS() <= Constants.Admission.HEARD_S;
+        boolean goesOn = before != null
+                && before.boot() == incarnation
+                && nowS - before.heardS() <= Constants.Admission.DEMAND_VALID_S;
         joinedS = goesOn ? joinedS : nowS;
         Map<QueueId, QueueDemand> byQueue = new HashMap<>();
         for (QueueDemand counted : demand) {
@@ -69,19 +70,19 @@
                         .add(since);
             }
         }
-        heard.put(controller, new Counts(boot, nowS, byQueue));
+        heard.put(controller, new Counts(incarnation, nowS, byQueue));
     }
 
     /**
      * Plans the table for the time from now on.
      *
-     * @param mayLimit whether further queues may be limited: not just after an outage, when all come back who could not be
+     * @param allowNewLimits whether further queues may be limited: not just after an outage, when all come back who could not be
      *     taken in, which is no flood. Nor are they just after a controller has been heard for the first time.
      */
-    public AdmissionTable plan(ChangeBudget budget, boolean mayLimit, long nowMs, double nowS) {
+    public AdmissionTable plan(AdmissionCapacity budget, boolean allowNewLimits, long nowMs, double nowS) {
         measure(nowMs, nowS);
-        boolean settled = mayLimit && nowS - joinedS > Constants.Admission.OUTAGE_OVER_S;
-        Map<QueueId, Double> parts = parts(budget.lastingPerS());
+        boolean settled = allowNewLimits && nowS - joinedS > Constants.Admission.OUTAGE_RECOVERY_S;
+        Map<QueueId, Double> parts = parts(budget.sustainablePerS());
         Set<String> before = deferredTeams();
         for (Map.Entry<QueueId, QueueRates> entry : rates.entrySet()) {
             plan(entry.getKey(), entry.getValue(), parts.get(entry.getKey()), settled, nowMs);
@@ -93,8 +94,8 @@
     }
 
     /** Teams that began or ceased to have submissions deferred since the last call. */
-    public List<TeamTransition> takeTransitions() {
-        List<TeamTransition> taken = List.copyOf(transitions);
+    public List<DeferralTransition> drainTransitions() {
+        List<DeferralTransition> taken = List.copyOf(transitions);
         transitions.clear();
         return taken;
     }
@@ -104,21 +105,21 @@
         long fromMs = plannedMs < 0 ? nowMs - 1000 : plannedMs;
         plannedMs = nowMs;
         long lately = heard.values().stream()
-                .filter(counts -> nowS - counts.heardS() <= Constants.Admission.HEARD_S)
+                .filter(counts -> nowS - counts.heardS() <= Constants.Admission.DEMAND_VALID_S)
                 .count();
         // A controller that is not heard is taken to be asked as much as the others, as users are spread evenly.
         double factor = lately == 0 ? 1 : Math.max(1, controllers / (double) lately);
-        rates.values().forEach(queue -> queue.close(factor, elapsedS));
-        rates.entrySet().removeIf(entry -> entry.getValue().idle() && !limited.containsKey(entry.getKey()));
+        rates.values().forEach(queue -> queue.closeInterval(factor, elapsedS));
+        rates.entrySet().removeIf(entry -> entry.getValue().isIdle() && !limited.containsKey(entry.getKey()));
         limited.forEach((queue, limit) -> {
-            limit.observe(rates.get(queue).met(), fromMs, nowMs);
+            limit.observe(rates.get(queue).arrivals(), fromMs, nowMs);
         });
     }
 
     private Map<QueueId, Double> parts(double capacityPerS) {
         Map<String, Map<QueueId, Double>> demands = new HashMap<>();
         rates.forEach((queue, rate) -> demands.computeIfAbsent(queue.team(), unseen -> new HashMap<>())
-                .put(queue, limited.containsKey(queue) ? Double.POSITIVE_INFINITY : rate.askedPerS()));
+                .put(queue, limited.containsKey(queue) ? Double.POSITIVE_INFINITY : rate.submissionsPerS()));
         Map<String, Double> teamDemands = new HashMap<>();
         demands.forEach((team, queues) -> teamDemands.put(
                 team, queues.values().stream().mapToDouble(Double::doubleValue).sum()));
@@ -129,18 +130,20 @@
         return parts;
     }
 
-    private void plan(QueueId queue, QueueRates rate, double partPerS, boolean mayLimit, long nowMs) {
+    private void plan(QueueId queue, QueueRates rate, double partPerS, boolean allowNewLimits, long nowMs) {
         LimitedQueue limit = limited.get(queue);
-        double askedPerS = rate.askedPerS();
+        double askedPerS = rate.submissionsPerS();
         double admittedPerS = partPerS * Constants.Admission.TARGET_SHARE;
         if (limit == null) {
-            double drainS = askedPerS * Constants.Admission.UNDECIDED_MEAN_S / partPerS;
-            boolean flooded =
-                    mayLimit && rate.refusedTwice() && askedPerS > partPerS && drainS > Constants.Admission.DRAIN_S;
-            if (flooded && limited.size() < Constants.Admission.QUEUES_MOST) {
-                limited.put(queue, limitAnew(queue, admittedPerS, rate.latestAskedPerS(), nowMs));
+            double drainS = askedPerS * Constants.Admission.UNDECIDED_MEAN_RETRY_S / partPerS;
+            boolean flooded = allowNewLimits
+                    && rate.throttledInLastTwoIntervals()
+                    && askedPerS > partPerS
+                    && drainS > Constants.Admission.MAX_DRAIN_S;
+            if (flooded && limited.size() < Constants.Admission.MAX_TRACKED_QUEUES) {
+                limited.put(queue, limitAnew(queue, admittedPerS, rate.latestSubmissionsPerS(), nowMs));
             }
-        } else if (limit.content(admittedPerS, askedPerS, nowMs)) {
+        } else if (limit.isReleasable(admittedPerS, askedPerS, nowMs)) {
             released.put(queue, limited.remove(queue));
         } else {
             limit.extend(admittedPerS, askedPerS, nowMs);
@@ -174,11 +177,11 @@
             double admittedPerS = 0;
             for (Map.Entry<QueueId, QueueRates> entry : rates.entrySet()) {
                 if (entry.getKey().team().equals(team)) {
-                    askedPerS += entry.getValue().askedPerS();
+                    askedPerS += entry.getValue().submissionsPerS();
                     admittedPerS += parts.get(entry.getKey());
                 }
             }
-            transitions.add(new TeamTransition(team, after.contains(team), askedPerS, admittedPerS));
+            transitions.add(new DeferralTransition(team, after.contains(team), askedPerS, admittedPerS));
         }
     }
 }
--- a/src/main/java/org/mountlug/core/admit/AdmissionTable.java
+++ b/src/main/java/org/mountlug/core/admit/AdmissionTable.java
@@ -17,17 +17,17 @@
     }
 
     /** The table in force where none was published: every queue is open. */
-    public static AdmissionTable none() {
+    public static AdmissionTable empty() {
         return new AdmissionTable(0, 0, Map.of());
     }
 
     /** Whether any queue is limited at this time. */
-    public boolean limits(long nowMs) {
-        return !schedules.isEmpty() && nowMs - issuedMs <= Constants.Admission.TABLE_LIFE_MS;
+    public boolean limitsAnyQueue(long nowMs) {
+        return !schedules.isEmpty() && nowMs - issuedMs <= Constants.Admission.TABLE_TTL_MS;
     }
 
     /** The schedule of a queue at this time, or null if the queue is open. */
     public CursorSchedule schedule(QueueId queue, long nowMs) {
-        return limits(nowMs) ? schedules.get(queue) : null;
+        return limitsAnyQueue(nowMs) ? schedules.get(queue) : null;
     }
 }
--- a/src/main/java/org/mountlug/core/admit/ArrivalRate.java
+++ b/src/main/java/org/mountlug/core/admit/ArrivalRate.java
@@ -13,7 +13,7 @@
 
     /** @param guessPerS submissions a second as far as they are known before any was met */
     ArrivalRate(double guessPerS) {
-        this.guessPerS = Math.max(Constants.Admission.IDLE_PER_S, guessPerS);
+        this.guessPerS = Math.max(Constants.Admission.IDLE_RATE_PER_S, guessPerS);
     }
 
     /**
@@ -24,14 +24,14 @@
      * @param elapsedS seconds that it took
      */
     void observe(double submissions, double exposedS, double elapsedS) {
-        double kept = Math.exp(-elapsedS / Constants.Admission.ARRIVAL_MEMORY_S);
+        double kept = Math.exp(-elapsedS / Constants.Admission.ARRIVAL_TIME_CONSTANT_S);
         met = met * kept + submissions;
         exposureS = exposureS * kept + exposedS;
     }
 
     /** New submissions a second; the guess counts as much as a few that were met. */
     double perS() {
-        double credit = Constants.Admission.ARRIVAL_CREDIT;
+        double credit = Constants.Admission.ARRIVAL_PRIOR_WEIGHT;
         return (met + credit) / (exposureS + credit / guessPerS);
     }
 }
--- a/src/main/java/org/mountlug/core/admit/CursorSchedule.java
+++ b/src/main/java/org/mountlug/core/admit/CursorSchedule.java
@@ -81,7 +81,7 @@
     }
 
     /** Places by which the cursor moves on in a step beyond the end. */
-    public long lastAdvance() {
+    public long lastStepAdvance() {
         return positions[positions.length - 1] - positions[positions.length - 2];
     }
 
@@ -96,31 +96,31 @@
             long advance = positions[(int) point + 1] - positions[(int) point];
             return positions[(int) point] + advance * (offsetMs % STEP_MS) / STEP_MS;
         }
-        return positions[positions.length - 1] + lastAdvance() * (epochMs - endMs()) / STEP_MS;
+        return positions[positions.length - 1] + lastStepAdvance() * (epochMs - endMs()) / STEP_MS;
     }
 
     /** Whether the cursor passes this place after the first time and not after the second one. */
-    public boolean passes(int place, long afterMs, long untilMs) {
-        return lapsBeyond(place, untilMs) > lapsBeyond(place, afterMs);
+    public boolean passes(int slot, long afterMs, long untilMs) {
+        return lapsBeyond(slot, untilMs) > lapsBeyond(slot, afterMs);
     }
 
-    private long lapsBeyond(int place, long epochMs) {
-        return Math.floorDiv(positionAt(epochMs) - place, (long) HashRing.LAP);
+    private long lapsBeyond(int slot, long epochMs) {
+        return Math.floorDiv(positionAt(epochMs) - slot, (long) HashRing.SLOTS);
     }
 
     /** The first time after this one at which the cursor has passed the place, or {@link #NEVER}. */
-    public long nextTurnMs(int place, long afterMs) {
-        long target = place + HashRing.LAP * (lapsBeyond(place, afterMs) + 1);
+    public long nextTurnMs(int slot, long afterMs) {
+        long target = slot + HashRing.SLOTS * (lapsBeyond(slot, afterMs) + 1);
         for (int point = 0; point < positions.length - 1; point++) {
             if (positions[point + 1] >= target) {
                 return timeMs(point)
                         + timeToAdvance(target - positions[point], positions[point + 1] - positions[point]);
             }
         }
-        if (lastAdvance() == 0) {
+        if (lastStepAdvance() == 0) {
             return NEVER;
         }
-        return endMs() + timeToAdvance(target - positions[positions.length - 1], lastAdvance());
+        return endMs() + timeToAdvance(target - positions[positions.length - 1], lastStepAdvance());
     }
 
     private static long ceilDiv(long dividend, long divisor) {
@@ -144,11 +144,11 @@
         long[] longer = Arrays.copyOf(positions, positions.length + added);
         for (int point = positions.length; point < longer.length; point++) {
             boolean past = timeMs(point - 1) < nowMs;
-            longer[point] = longer[point - 1] + (past ? lastAdvance() : Math.max(0, advance));
+            longer[point] = longer[point - 1] + (past ? lastStepAdvance() : Math.max(0, advance));
         }
         int dropped =
                 (int) Math.min(longer.length - 2, Math.max(0, Math.floorDiv(nowMs - keepMs, STEP_MS) - firstStep));
-        long wholeLaps = Math.floorDiv(longer[dropped], (long) HashRing.LAP) * HashRing.LAP;
+        long wholeLaps = Math.floorDiv(longer[dropped], (long) HashRing.SLOTS) * HashRing.SLOTS;
         long[] kept = Arrays.copyOfRange(longer, dropped, longer.length);
         for (int point = 0; point < kept.length; point++) {
             kept[point] -= wholeLaps;
--- a/src/main/java/org/mountlug/core/admit/DemandMeter.java
+++ b/src/main/java/org/mountlug/core/admit/DemandCounter.java
@@ -8,7 +8,7 @@
 import org.mountlug.Constants;
 
 /** Counts submissions by queue. Of the queues not asked for longest none is kept beyond a bound, as users name classes. */
-final class DemandMeter {
+final class DemandCounter {
     private static final class Counter {
         int asked;
         int met;
@@ -24,7 +24,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<QueueId, Counter> eldest) {
-            return size() > Constants.Admission.QUEUES_MOST;
+            return size() > Constants.Admission.MAX_TRACKED_QUEUES;
         }
     };
 
@@ -32,15 +32,15 @@
         return counters.computeIfAbsent(queue, unseen -> new Counter());
     }
 
-    void asked(QueueId queue) {
+    void recordSubmission(QueueId queue) {
         counter(queue).asked++;
     }
 
-    void met(QueueId queue) {
+    void recordArrival(QueueId queue) {
         counter(queue).met++;
     }
 
-    void refused(QueueId queue) {
+    void recordThrottled(QueueId queue) {
         counter(queue).refused++;
     }
 
@@ -48,7 +48,7 @@
     List<QueueDemand> counts() {
         List<QueueDemand> counts = new ArrayList<>();
         counters.forEach((queue, counter) -> counts.add(counter.of(queue)));
-        counts.sort(Comparator.comparingInt(QueueDemand::asked).reversed().thenComparing(QueueDemand::queue));
+        counts.sort(Comparator.comparingInt(QueueDemand::submissions).reversed().thenComparing(QueueDemand::queue));
         return counts;
     }
 }
--- a/src/main/java/org/mountlug/core/admit/HashRing.java
+++ b/src/main/java/org/mountlug/core/admit/HashRing.java
@@ -8,17 +8,17 @@
  */
 public final class HashRing {
     /** Places on the ring. */
-    public static final int LAP = 1_000_000;
+    public static final int SLOTS = 1_000_000;
 
     private HashRing() {}
 
-    /** The place of a job, from 0 to below {@link #LAP}. */
-    public static int place(String jobId) {
-        return (int) Math.floorMod(HashCommon.murmurHash3((long) jobId.hashCode()), (long) LAP);
+    /** The place of a job, from 0 to below {@link #SLOTS}. */
+    public static int slotOf(String jobId) {
+        return (int) Math.floorMod(HashCommon.murmurHash3((long) jobId.hashCode()), (long) SLOTS);
     }
 
     /** A number from 0 to below {@code bound}, the same for the same job, by which answers are spread in time. */
-    public static int spread(String jobId, int bound) {
+    public static int jitter(String jobId, int bound) {
         return (int) Math.floorMod(HashCommon.murmurHash3(~(long) jobId.hashCode()), (long) bound);
     }
 }
--- a/src/main/java/org/mountlug/core/admit/LimitedQueue.java
+++ b/src/main/java/org/mountlug/core/admit/LimitedQueue.java
@@ -7,7 +7,8 @@
  * admitted. Its schedule is extended a fixed time ahead, so a change of pace takes effect that much later.
  */
 final class LimitedQueue {
-    private static final double LAPS_A_STEP_MOST = CursorSchedule.STEP_MS / (double) Constants.Admission.GRACE_MS;
+    private static final double LAPS_A_STEP_MOST =
+            CursorSchedule.STEP_MS / (double) Constants.Admission.TURN_DURATION_MS;
 
     private static final long NOT_CONTENT = -1;
 
@@ -19,7 +20,7 @@
     private long contentSinceMs = NOT_CONTENT;
 
     private LimitedQueue(ArrivalRate rate, CursorSchedule schedule, long nowMs) {
-        this.countsFromMs = nowMs + Constants.Admission.SETTLED_MS;
+        this.countsFromMs = nowMs + Constants.Admission.LIMIT_PROPAGATION_MS;
         this.rate = rate;
         this.schedule = schedule;
     }
@@ -31,8 +32,8 @@
     static LimitedQueue starting(double admittedPerS, double askedPerS, long nowMs) {
         double stepS = CursorSchedule.STEP_MS / 1000.0;
         long firstMs = Math.floorDiv(nowMs, CursorSchedule.STEP_MS) * CursorSchedule.STEP_MS;
-        int steps =
-                (int) Math.ceil((nowMs + Constants.Admission.HORIZON_MS - firstMs) / (double) CursorSchedule.STEP_MS);
+        int steps = (int) Math.ceil(
+                (nowMs + Constants.Admission.SCHEDULE_HORIZON_MS - firstMs) / (double) CursorSchedule.STEP_MS);
         long[] advances = new long[steps];
         for (int step = 0; step < steps; step++) {
             double perLap = Math.max(1, askedPerS * presentS((step + 0.5) * stepS));
@@ -46,22 +47,22 @@
      * and those who come for the first time while their turn lasts.
      */
     private static double presentS(double ageS) {
-        return waitingS(ageS) + Math.min(ageS, Constants.Admission.GRACE_MS / 1000.0);
+        return waitingS(ageS) + Math.min(ageS, Constants.Admission.TURN_DURATION_MS / 1000.0);
     }
 
     /** The same of those who are counted as met: of whoever comes for the first time, only who comes just at its turn. */
     private static double metS(double ageS) {
-        return waitingS(ageS) + Math.min(ageS, Constants.Admission.MET_MS / 1000.0);
+        return waitingS(ageS) + Math.min(ageS, Constants.Admission.FIRST_ARRIVAL_WINDOW_MS / 1000.0);
     }
 
     private static double waitingS(double ageS) {
-        return Constants.Admission.ONSET_S + Math.min(ageS, Constants.Admission.PATIENCE_S);
+        return Constants.Admission.FLOOD_ONSET_S + Math.min(ageS, Constants.Admission.USER_GIVE_UP_S);
     }
 
     /** A queue that an earlier leader limited; its pace tells what that leader reckoned with. */
     static LimitedQueue restored(CursorSchedule schedule, double admittedPerS, long nowMs) {
-        double lapsPerS = schedule.lastAdvance() / (double) HashRing.LAP / (CursorSchedule.STEP_MS / 1000.0);
-        double perLap = admittedPerS / Math.max(lapsPerS, Constants.Admission.SLOWEST_LAPS_PER_S);
+        double lapsPerS = schedule.lastStepAdvance() / (double) HashRing.SLOTS / (CursorSchedule.STEP_MS / 1000.0);
+        double perLap = admittedPerS / Math.max(lapsPerS, Constants.Admission.MIN_LAPS_PER_S);
         double ageS = ageS(schedule, schedule.endMs());
         return new LimitedQueue(new ArrivalRate(Math.max(1, perLap) / presentS(ageS)), schedule, nowMs);
     }
@@ -80,26 +81,26 @@
             return;
         }
         double ageS = ageS(schedule, toMs);
-        double laps = (schedule.positionAt(toMs) - schedule.positionAt(fromMs)) / (double) HashRing.LAP;
+        double laps = (schedule.positionAt(toMs) - schedule.positionAt(fromMs)) / (double) HashRing.SLOTS;
         rate.observe(submissions, laps * metS(ageS), (toMs - fromMs) / 1000.0);
     }
 
     /** Extends the schedule so that so many submissions a second will have their turn. */
     void extend(double admittedPerS, double askedPerS, long nowMs) {
-        double ahead = askedPerS <= admittedPerS ? 0 : Constants.Admission.HORIZON_MS / 1000.0;
+        double ahead = askedPerS <= admittedPerS ? 0 : Constants.Admission.SCHEDULE_HORIZON_MS / 1000.0;
         double perLap = Math.max(1, rate.perS() * presentS(ageS(schedule, nowMs) + ahead));
         schedule = schedule.extended(
                 nowMs,
-                nowMs + Constants.Admission.HORIZON_MS,
+                nowMs + Constants.Admission.SCHEDULE_HORIZON_MS,
                 places(admittedPerS / perLap * CursorSchedule.STEP_MS / 1000.0),
-                Constants.Admission.GRACE_MS + Constants.Admission.KEPT_MS);
+                Constants.Admission.TURN_DURATION_MS + Constants.Admission.SCHEDULE_RETENTION_MS);
     }
 
     /** Whether so little has been asked for a while that a limit is not needed any more. */
-    boolean content(double admittedPerS, double askedPerS, long nowMs) {
-        boolean little = askedPerS <= admittedPerS * Constants.Admission.CONTENT_SHARE;
-        boolean drained =
-                rate.perS() * presentS(ageS(schedule, nowMs)) <= admittedPerS * Constants.Admission.HORIZON_MS / 1000.0;
+    boolean isReleasable(double admittedPerS, double askedPerS, long nowMs) {
+        boolean little = askedPerS <= admittedPerS * Constants.Admission.RELEASE_SHARE;
+        boolean drained = rate.perS() * presentS(ageS(schedule, nowMs))
+                <= admittedPerS * Constants.Admission.SCHEDULE_HORIZON_MS / 1000.0;
         if (!little || !drained) {
             contentSinceMs = NOT_CONTENT;
             return false;
@@ -107,10 +108,10 @@
         if (contentSinceMs == NOT_CONTENT) {
             contentSinceMs = nowMs;
         }
-        return nowMs - contentSinceMs >= Constants.Admission.CONTENT_MS;
+        return nowMs - contentSinceMs >= Constants.Admission.RELEASE_AFTER_MS;
     }
 
     private static long places(double lapsInStep) {
-        return Math.round(Math.min(lapsInStep, LAPS_A_STEP_MOST) * HashRing.LAP);
+        return Math.round(Math.min(lapsInStep, LAPS_A_STEP_MOST) * HashRing.SLOTS);
     }
 }
--- a/src/main/java/org/mountlug/core/admit/QueueRates.java
+++ b/src/main/java/org/mountlug/core/admit/QueueRates.java
@@ -7,7 +7,7 @@
     private double asked;
     private double met;
     private double refused;
-    private double askedPerS;
+    private double submissionsPerS;
     private double askedInIntervalPerS;
     private boolean refusedBefore;
     private boolean refusedLately;
@@ -15,9 +15,9 @@
 
     /** Adds what a controller has counted since it was last heard. */
     void add(QueueDemand counted) {
-        asked += counted.asked();
-        met += counted.met();
-        refused += counted.refused();
+        asked += counted.submissions();
+        met += counted.arrivals();
+        refused += counted.throttled();
     }
 
     /**
@@ -25,9 +25,9 @@
      *
      * @param factor by how much more was asked than was heard of
      */
-    void close(double factor, double elapsedS) {
-        double weight = 1 - Math.exp(-elapsedS / Constants.Admission.RATE_MEMORY_S);
-        askedPerS += weight * (asked * factor / elapsedS - askedPerS);
+    void closeInterval(double factor, double elapsedS) {
+        double weight = 1 - Math.exp(-elapsedS / Constants.Admission.RATE_TIME_CONSTANT_S);
+        submissionsPerS += weight * (asked * factor / elapsedS - submissionsPerS);
         askedInIntervalPerS = asked * factor / elapsedS;
         refusedBefore = refusedLately;
         refusedLately = refused > 0;
@@ -37,27 +37,27 @@
         refused = 0;
     }
 
-    double askedPerS() {
-        return askedPerS;
+    double submissionsPerS() {
+        return submissionsPerS;
     }
 
     /** Submissions a second in the interval closed last, or the smoothed rate if that is higher. */
-    double latestAskedPerS() {
-        return Math.max(askedPerS, askedInIntervalPerS);
+    double latestSubmissionsPerS() {
+        return Math.max(submissionsPerS, askedInIntervalPerS);
     }
 
     /** Whether submissions were turned away in each of the last two intervals, so that the latest was flooded as a whole. */
-    boolean refusedTwice() {
+    boolean throttledInLastTwoIntervals() {
         return refusedBefore && refusedLately;
     }
 
     /** Submissions that were met at their turn in the interval closed last. */
-    double met() {
+    double arrivals() {
         return metInInterval;
     }
 
     /** Whether hardly anything has been asked lately. */
-    boolean idle() {
-        return askedPerS < Constants.Admission.IDLE_PER_S;
+    boolean isIdle() {
+        return submissionsPerS < Constants.Admission.IDLE_RATE_PER_S;
     }
 }
--- a/src/main/java/org/mountlug/core/admit/TeamBuckets.java
+++ b/src/main/java/org/mountlug/core/admit/TeamTokenBuckets.java
@@ -10,7 +10,7 @@
  * the common one. So a queue that is asked within its part always finds a token, and what is left is used by the others. A token
  * pays for one change.
  */
-final class TeamBuckets {
+final class TeamTokenBuckets {
     private static final class Bucket {
         double tokens;
         double usedS;
@@ -49,7 +49,7 @@
      * @param burstS seconds' worth of its rate that a bucket holds
      * @param burstLeast tokens that the bucket of a team or queue holds at the least, at least 1
      */
-    TeamBuckets(Map<String, Double> weights, double ratePerS, double burstS, double burstLeast) {
+    TeamTokenBuckets(Map<String, Double> weights, double ratePerS, double burstS, double burstLeast) {
         this.burstS = burstS;
         this.burstLeast = Math.max(1, burstLeast);
         weights.forEach((team, weight) -> teams.put(team, new Team(weight)));
@@ -71,18 +71,18 @@
     }
 
     /** Fills the buckets up to a time, at a rate that may differ from call to call. */
-    void fill(double ratePerS, double nowS) {
+    void refill(double ratePerS, double nowS) {
         double elapsedS = Double.isNaN(filledS) ? 0 : Math.max(0, nowS - filledS);
         filledS = nowS;
         double left = 0;
         for (Team team : teams.values()) {
-            left += fill(team, ratePerS, elapsedS);
+            left += refill(team, ratePerS, elapsedS);
         }
         common.fill(left, burst(ratePerS));
     }
 
-    private double fill(Team team, double ratePerS, double elapsedS) {
-        team.classes.values().removeIf(bucket -> filledS - bucket.usedS > Constants.Admission.CLASS_IDLE_S);
+    private double refill(Team team, double ratePerS, double elapsedS) {
+        team.classes.values().removeIf(bucket -> filledS - bucket.usedS > Constants.Admission.CLASS_BUCKET_IDLE_S);
         double inflow = teamRate(team, ratePerS) * elapsedS;
         int classes = team.classes.size();
         if (classes > 0) {
@@ -101,7 +101,7 @@
      *
      * @param overdraft tokens that the queue may owe after that; it gets no others before they are paid
      */
-    boolean take(QueueId queue, double overdraft) {
+    boolean tryAcquire(QueueId queue, double overdraft) {
         Team team = teams.get(queue.team());
         if (team == null) {
             return false;
@@ -123,7 +123,7 @@
 
     /** The queue's bucket. A new one is empty, so that a new name for a class buys nothing; beyond a bound they share one. */
     private Bucket bucket(Team team, String jobClass) {
-        boolean room = team.classes.size() < Constants.Admission.CLASSES_MOST;
+        boolean room = team.classes.size() < Constants.Admission.MAX_CLASS_BUCKETS_PER_TEAM;
         String name = room || team.classes.containsKey(jobClass) ? jobClass : "";
         Bucket bucket = team.classes.computeIfAbsent(name, unseen -> new Bucket());
         bucket.usedS = filledS;
@@ -131,7 +131,7 @@
     }
 
     /** Pays for a change that waits for no token; submissions wait until the debt is paid, which is bounded. */
-    void spend(double ratePerS) {
+    void charge(double ratePerS) {
         common.tokens = Math.max(-burst(ratePerS), common.tokens - 1);
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/Allocator.java
+++ b/src/main/java/org/mountlug/core/allocate/Allocator.java
@@ -12,85 +12,85 @@
 import org.mountlug.core.model.MachineType;
 import org.mountlug.core.model.Reservation;
 import org.mountlug.core.model.Resources;
-import org.mountlug.core.zone.ZoneWatch;
+import org.mountlug.core.zone.ZoneMonitor;
 
 /**
  * One round of the design: pipelined gangs first, each task on the machine it is nominated for, then everything
  * pending from the teams' queues.
  */
 public final class Allocator {
-    private final RoundView view;
-    private final GangPlacement gangs;
-    private final ArrayPlacement arrays;
-    private final ReplicaPlacement replicas;
-    private final MachineHolding holding;
+    private final RoundState view;
+    private final GangPlacer gangs;
+    private final ArrayPlacer arrays;
+    private final ReplicaPlacer replicas;
+    private final GangMachineHolds holding;
 
     /** Makes the view of the usable machines for one round; {@code dueOrder} sorts jobs within a queue. */
     public Allocator(
-            Cluster cluster, ZoneWatch zones, ToDoubleFunction<Job> dueOrder, ReplicaTimes times, double nowS) {
-        view = new RoundView(cluster, zones, dueOrder, times, nowS);
-        gangs = new GangPlacement(view);
-        arrays = new ArrayPlacement(view);
-        replicas = new ReplicaPlacement(view);
-        holding = new MachineHolding(view);
+            Cluster cluster, ZoneMonitor zones, ToDoubleFunction<Job> orderKey, ReplicaStartTimes times, double nowS) {
+        view = new RoundState(cluster, zones, orderKey, times, nowS);
+        gangs = new GangPlacer(view);
+        arrays = new ArrayPlacer(view);
+        replicas = new ReplicaPlacer(view);
+        holding = new GangMachineHolds(view);
     }
 
     /** The view of the machines as this round leaves it. */
-    public Map<String, Node> nodes() {
-        return view.nodes;
+    public Map<String, MachineView> machineViews() {
+        return view.machineViews;
     }
 
     /** What each team uses, this round included. */
     public Map<String, Resources> usage() {
-        return view.usage;
+        return view.usageByTeam;
     }
 
     /** Runs the round on the view.cluster; returns how many tasks were placed. */
-    public int round() {
+    public int allocate() {
         // Last round's reservations stand in the view before anything is tried.
         for (Map.Entry<String, List<Reservation>> e : view.cluster.reservations.entrySet()) {
             Job j = view.cluster.jobs.get(e.getKey());
             for (Reservation r : e.getValue()) {
-                Node n = view.nodes.get(r.machine());
+                MachineView n = view.machineViews.get(r.machine());
                 if (j != null && n != null) {
-                    n.pipelined = n.pipelined.plus(j.spec.need());
+                    n.reserved = n.reserved.plus(j.spec.request());
                 }
             }
         }
-        holding.review();
+        holding.releaseUnneeded();
         List<Job> pipelined = new ArrayList<>();
         List<Job> pending = new ArrayList<>();
         for (Job j : view.cluster.jobs.values()) {
-            boolean gangReady = !j.spec.gang() || j.placed.isEmpty();
-            if (j.cancelled || j.open() <= 0 || !gangReady) {
-                view.release(j);
+            boolean gangReady = !j.spec.isGang() || j.placements.isEmpty();
+            if (j.cancelled || j.pendingTaskCount() <= 0 || !gangReady) {
+                view.releaseReservations(j);
                 continue;
             }
             (view.cluster.reservations.containsKey(j.spec.id()) ? pipelined : pending).add(j);
         }
         serve(pipelined);
         serve(pending);
-        view.cluster.serviceWaits = false;
+        view.cluster.serviceWaiting = false;
         for (Job j : pending) {
-            view.cluster.serviceWaits |= j.spec.service() && j.open() > 0;
+            view.cluster.serviceWaiting |= j.spec.isService() && j.pendingTaskCount() > 0;
         }
-        holding.hold(pending);
+        holding.holdMachines(pending);
         placeOverflow(pending);
         for (Job j : pending) {
-            if (!j.spec.gang() && j.open() > 0 && packsBadly(j)) {
+            if (!j.spec.isGang() && j.pendingTaskCount() > 0 && packsBadly(j)) {
                 arrays.place(j, false);
             }
         }
-        arrays.standby(pending);
-        return view.placed();
+        arrays.placeOnStandby(pending);
+        return view.placedCount();
     }
 
     private void serve(List<Job> jobs) {
-        TeamQueues q = view.queues(jobs);
+        TeamQueues q = view.teamQueues(jobs);
         for (Job j = q.next(); j != null; j = q.next()) {
-            if (j.spec.gang()) {
+            if (j.spec.isGang()) {
                 gangs.place(j);
-            } else if (j.spec.service()) {
+            } else if (j.spec.isService()) {
                 replicas.place(j);
             } else if (!packsBadly(j)) {
                 arrays.place(j, false);
@@ -106,50 +106,51 @@
     private void placeOverflow(List<Job> pending) {
         double waiting = 0;
         for (Job j : pending) {
-            if (j.spec.need().gpus() == 0
-                    || j.open() <= 0
-                    || j.failureHistory.suspected()
+            if (j.spec.request().gpus() == 0
+                    || j.pendingTaskCount() <= 0
+                    || j.failureHistory.isSuspected()
                     || view.cluster.reservations.containsKey(j.spec.id())) {
                 continue;
             }
             double share = 1;
-            for (Node n : view.nodes.values()) {
+            for (MachineView n : view.machineViews.values()) {
                 if (j.spec.allows(n.machine.type.name(), n.machine.zone, n.machine.spot)
-                        && j.spec.need().fitsIn(n.machine.type.size())) {
-                    share = Math.min(share, j.spec.need().shareOf(n.machine.type.size()));
+                        && j.spec.request().fitsIn(n.machine.type.capacity())) {
+                    share = Math.min(share, j.spec.request().dominantShareOf(n.machine.type.capacity()));
                 }
             }
-            waiting += Math.min(j.open(), Constants.OVERFLOW_BAR_TASKS) * share;
+            waiting += Math.min(j.pendingTaskCount(), Constants.OVERFLOW_BLOCK_TASKS) * share;
         }
-        List<Node> acceleratorNodes = new ArrayList<>();
-        for (Node n : view.nodes.values()) {
-            if (n.machine.type.size().gpus() > 0) {
+        List<MachineView> acceleratorNodes = new ArrayList<>();
+        for (MachineView n : view.machineViews.values()) {
+            if (n.machine.type.capacity().gpus() > 0) {
                 acceleratorNodes.add(n);
             }
         }
         // The machines with most free accelerators empty first; those barred before stay so.
-        acceleratorNodes.sort(Comparator.comparing((Node n) -> n.machine.noOverflowUntilS <= view.nowS)
-                .thenComparingDouble(n -> -n.idle.shareOf(n.machine.type.size()))
+        acceleratorNodes.sort(Comparator.comparing((MachineView n) -> n.machine.noOverflowUntilS <= view.nowS)
+                .thenComparingDouble(n -> -n.free.dominantShareOf(n.machine.type.capacity()))
                 .thenComparing(n -> n.machine.name));
-        int bar = (int) Math.min(Math.ceil(waiting), Math.ceil(acceleratorNodes.size() * Constants.OVERFLOW_BAR_SHARE));
+        int bar =
+                (int) Math.min(Math.ceil(waiting), Math.ceil(acceleratorNodes.size() * Constants.OVERFLOW_BLOCK_SHARE));
         for (int i = 0; i < acceleratorNodes.size(); i++) {
             Machine m = acceleratorNodes.get(i).machine;
             if (i < bar) {
-                m.noOverflowUntilS = Math.max(m.noOverflowUntilS, view.nowS + Constants.OVERFLOW_BAR_S);
+                m.noOverflowUntilS = Math.max(m.noOverflowUntilS, view.nowS + Constants.OVERFLOW_BLOCK_S);
             } else if (waiting == 0) {
                 m.noOverflowUntilS = Double.NEGATIVE_INFINITY;
             }
         }
         List<Job> jobs = new ArrayList<>();
         for (Job j : pending) {
-            if (j.open() > 0
-                    && !j.spec.gang()
-                    && j.spec.need().gpus() == 0
-                    && view.cluster.overflowing.contains(j.spec.id())) {
+            if (j.pendingTaskCount() > 0
+                    && !j.spec.isGang()
+                    && j.spec.request().gpus() == 0
+                    && view.cluster.overflowJobs.contains(j.spec.id())) {
                 jobs.add(j);
             }
         }
-        TeamQueues q = view.queues(jobs);
+        TeamQueues q = view.teamQueues(jobs);
         for (Job j = q.next(); j != null; j = q.next()) {
             arrays.place(j, true);
         }
@@ -160,17 +161,18 @@
      * machines last, as it has the accelerator machines, while what fills the cheap machines has only those.
      */
     private boolean packsBadly(Job j) {
-        if (!view.cluster.overflowing.contains(j.spec.id())) {
+        if (!view.cluster.overflowJobs.contains(j.spec.id())) {
             return false;
         }
         double best = 0;
         for (MachineType t : view.cluster.types()) {
-            if (t.size().gpus() > 0 || !j.spec.allows(t)) {
+            if (t.capacity().gpus() > 0 || !j.spec.canEverRunOn(t)) {
                 continue;
             }
             best = Math.max(
-                    best, j.spec.need().countIn(t.size()) * j.spec.need().shareOf(t.size()));
+                    best,
+                    j.spec.request().countIn(t.capacity()) * j.spec.request().dominantShareOf(t.capacity()));
         }
-        return best < Constants.PACKS_BADLY;
+        return best < Constants.MIN_PACKING_SHARE;
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/ArrayPlacement.java
+++ b/src/main/java/org/mountlug/core/allocate/ArrayPlacer.java
@@ -14,53 +14,54 @@
 import org.mountlug.core.model.Team;
 
 /** Array tasks, each for itself: on room that is idle now, or on room that running tasks are about to leave. */
-final class ArrayPlacement {
-    private final RoundView view;
+final class ArrayPlacer {
+    private final RoundState view;
 
-    ArrayPlacement(RoundView view) {
+    ArrayPlacer(RoundState view) {
         this.view = view;
     }
 
     /** Places what there is room for; {@code overflowing} work may have whole accelerator machines. */
     void place(Job job, boolean overflowing) {
         int most = mostTasks(job);
-        if (most <= 0 || view.refusedNeeds.covers(job.spec, overflowing)) {
+        if (most <= 0 || view.unplaceableRequests.includes(job.spec, overflowing)) {
             return;
         }
-        List<Node> fitting = fitting(job, overflowing);
+        List<MachineView> fitting = fitting(job, overflowing);
         if (fitting.isEmpty()) {
-            view.refusedNeeds.add(job.spec, overflowing);
+            view.unplaceableRequests.add(job.spec, overflowing);
             return;
         }
         new Attempt(job, most).over(fitting, overflowing);
     }
 
     private int mostTasks(Job job) {
-        int most = view.cluster.recordRoom(job);
-        if (job.failureHistory.suspected()) {
+        int most = view.cluster.remainingRecordTasks(job);
+        if (job.failureHistory.isSuspected()) {
             // One task at a time tells whether it still fails; more would only take room from others.
-            return Math.min(most, job.placed.isEmpty() ? 1 : 0);
+            return Math.min(most, job.placements.isEmpty() ? 1 : 0);
         }
         return most;
     }
 
     /** Machines with room for a task, the cheapest first. */
-    private List<Node> fitting(Job job, boolean overflowing) {
-        List<Node> fitting = new ArrayList<>();
-        Map<Node, Double> costs = new HashMap<>();
-        for (Node node : view.nodes.values()) {
+    private List<MachineView> fitting(Job job, boolean overflowing) {
+        List<MachineView> fitting = new ArrayList<>();
+        Map<MachineView, Double> costs = new HashMap<>();
+        for (MachineView node : view.machineViews.values()) {
             Machine machine = node.machine;
-            boolean barred = overflowing && (machine.type.size().gpus() == 0 || machine.noOverflowUntilS > view.nowS);
-            if (machine.heldFor == null
+            boolean barred =
+                    overflowing && (machine.type.capacity().gpus() == 0 || machine.noOverflowUntilS > view.nowS);
+            if (machine.heldForGang == null
                     && !barred
                     && job.spec.allows(machine.type.name(), machine.zone, machine.spot)
-                    && node.countNow(job.spec.need(), overflowing) > 0) {
+                    && node.countFittingNow(job.spec.request(), overflowing) > 0) {
                 fitting.add(node);
-                costs.put(node, view.cost(job, node));
+                costs.put(node, view.placementCost(job, node));
             }
         }
-        fitting.sort(
-                Comparator.comparingDouble((Node node) -> costs.get(node)).thenComparing(node -> node.machine.name));
+        fitting.sort(Comparator.comparingDouble((MachineView node) -> costs.get(node))
+                .thenComparing(node -> node.machine.name));
         return fitting;
     }
 
@@ -69,7 +70,7 @@
         private final Job job;
         private final Resources need;
         private final Team team;
-        private final Statement statement;
+        private final PlacementTransaction statement;
         private final Map<String, Integer> perZone = new HashMap<>();
         /** The zone of its tasks so far, null while it has none. */
         private String zoneOfAll;
@@ -80,46 +81,47 @@
 
         Attempt(Job job, int most) {
             this.job = job;
-            need = job.spec.need();
+            need = job.spec.request();
             team = view.cluster.team(job.spec.team());
-            statement = new Statement(job);
-            usedByTeam = view.usage.getOrDefault(job.spec.team(), Resources.ZERO);
+            statement = new PlacementTransaction(job);
+            usedByTeam = view.usageByTeam.getOrDefault(job.spec.team(), Resources.ZERO);
             left = most;
-            nextTask = job.done.nextClearBit(0);
-            if (job.spec.oneZone() || job.spec.apart()) {
-                for (Placement placement : job.placed.values()) {
+            nextTask = job.doneTasks.nextClearBit(0);
+            if (job.spec.oneZone() || job.spec.spreadAcrossZones()) {
+                for (Placement placement : job.placements.values()) {
                     perZone.merge(placement.zone, 1, Integer::sum);
                     zoneOfAll = placement.zone;
                 }
             }
         }
 
-        void over(List<Node> nodes, boolean overflowing) {
-            for (Node node : nodes) {
+        void over(List<MachineView> nodes, boolean overflowing) {
+            for (MachineView node : nodes) {
                 boolean otherZone = zoneOfAll != null && !zoneOfAll.equals(node.machine.zone);
                 if (job.spec.oneZone() && otherZone) {
                     continue;
                 }
-                fill(node, node.countNow(need, overflowing));
+                fill(node, node.countFittingNow(need, overflowing));
                 if (nextTask >= job.spec.tasks() || left <= 0) {
                     break;
                 }
             }
-            if (statement.ready(1)) {
-                view.usage.put(job.spec.team(), usedByTeam);
+            if (statement.isReady(1)) {
+                view.usageByTeam.put(job.spec.team(), usedByTeam);
                 view.commit(statement);
             }
         }
 
-        private void fill(Node node, int count) {
+        private void fill(MachineView node, int count) {
             String zone = node.machine.zone;
             for (int slot = 0; slot < count && left > 0; slot++) {
                 findNextTask();
-                boolean zoneFull = job.spec.apart() && perZone.getOrDefault(zone, 0) >= job.spec.zoneMost();
+                boolean zoneFull =
+                        job.spec.spreadAcrossZones() && perZone.getOrDefault(zone, 0) >= job.spec.maxTasksPerZone();
                 if (nextTask >= job.spec.tasks() || zoneFull) {
                     return;
                 }
-                if (team != null && !team.allows(usedByTeam.plus(need))) {
+                if (team != null && !team.isWithinLimit(usedByTeam.plus(need))) {
                     left = 0;
                     return;
                 }
@@ -132,7 +134,7 @@
         }
 
         private void findNextTask() {
-            while (nextTask < job.spec.tasks() && !job.wants(nextTask, view.nowS)) {
+            while (nextTask < job.spec.tasks() && !job.needsPlacement(nextTask, view.nowS)) {
                 nextTask++;
             }
         }
@@ -144,38 +146,38 @@
      * between two tasks, which for tasks of some seconds is a good part of the fleet. It is the design's pipelining
      * for tasks that wait for nothing but room.
      */
-    void standby(List<Job> pending) {
+    void placeOnStandby(List<Job> pending) {
         List<Job> jobs = new ArrayList<>();
         for (Job j : pending) {
-            if (!j.spec.gang()
-                    && !j.spec.service()
-                    && !j.spec.apart()
-                    && !j.failureHistory.suspected()
-                    && j.open() > 0) {
+            if (!j.spec.isGang()
+                    && !j.spec.isService()
+                    && !j.spec.spreadAcrossZones()
+                    && !j.failureHistory.isSuspected()
+                    && j.pendingTaskCount() > 0) {
                 jobs.add(j);
             }
         }
         if (jobs.isEmpty()) {
             return;
         }
-        Map<Node, Resources> soon = new LinkedHashMap<>();
-        for (Node n : view.nodes.values()) {
+        Map<MachineView, Resources> soon = new LinkedHashMap<>();
+        for (MachineView n : view.machineViews.values()) {
             // On accelerator machines room is fought over by priority, and a gang wants several slots at once.
-            if (n.machine.type.size().gpus() > 0
-                    || n.machine.heldFor != null
-                    || n.limited()
-                    || !n.pipelined.isZero()
-                    || !n.machine.strays.isEmpty()) {
+            if (n.machine.type.capacity().gpus() > 0
+                    || n.machine.heldForGang != null
+                    || n.hasStartBudget()
+                    || !n.reserved.isZero()
+                    || !n.machine.orphans.isEmpty()) {
                 continue;
             }
             Resources r = Resources.ZERO;
-            for (Placement p : n.machine.placed.values()) {
+            for (Placement p : n.machine.placements.values()) {
                 if (p.standby) {
-                    r = r.minus(p.job.spec.need());
-                } else if (!Double.isNaN(p.runningS) && !p.stopping) {
-                    double left = view.cluster.expectedS(p.job) - (view.nowS - p.runningS);
-                    if (left < Constants.STANDBY_AHEAD_S) {
-                        r = r.plus(p.job.spec.need());
+                    r = r.minus(p.job.spec.request());
+                } else if (!Double.isNaN(p.runningSinceS) && !p.stopping) {
+                    double left = view.cluster.expectedRunS(p.job) - (view.nowS - p.runningSinceS);
+                    if (left < Constants.STANDBY_LEAD_TIME_S) {
+                        r = r.plus(p.job.spec.request());
                     }
                 }
             }
@@ -183,41 +185,42 @@
                 soon.put(n, r);
             }
         }
-        TeamQueues q = view.queues(jobs);
+        TeamQueues q = view.teamQueues(jobs);
         for (Job j = q.next(); j != null && !soon.isEmpty(); j = q.next()) {
-            standby(j, soon);
+            placeOnStandby(j, soon);
         }
     }
 
-    private void standby(Job j, Map<Node, Resources> soon) {
-        Resources need = j.spec.need();
+    private void placeOnStandby(Job j, Map<MachineView, Resources> soon) {
+        Resources need = j.spec.request();
         Team team = view.cluster.team(j.spec.team());
-        int budget = view.cluster.recordRoom(j);
-        int task = j.done.nextClearBit(0);
+        int budget = view.cluster.remainingRecordTasks(j);
+        int task = j.doneTasks.nextClearBit(0);
         boolean any = false;
-        for (Map.Entry<Node, Resources> e : soon.entrySet()) {
+        for (Map.Entry<MachineView, Resources> e : soon.entrySet()) {
             Machine m = e.getKey().machine;
             if (!j.spec.allows(m.type.name(), m.zone, m.spot)) {
                 continue;
             }
-            while (budget > 0 && need.fitsIn(e.getValue()) && j.zoneAllows(m.zone, 1)) {
-                while (task < j.spec.tasks() && !j.wants(task, view.nowS)) {
+            while (budget > 0 && need.fitsIn(e.getValue()) && j.zoneRulesAllow(m.zone, 1)) {
+                while (task < j.spec.tasks() && !j.needsPlacement(task, view.nowS)) {
                     task++;
                 }
                 if (task >= j.spec.tasks()) {
                     return;
                 }
-                Resources used =
-                        view.usage.getOrDefault(j.spec.team(), Resources.ZERO).plus(need);
-                if (team != null && !team.allows(used)) {
+                Resources used = view.usageByTeam
+                        .getOrDefault(j.spec.team(), Resources.ZERO)
+                        .plus(need);
+                if (team != null && !team.isWithinLimit(used)) {
                     return;
                 }
                 if (!any) {
                     any = true;
-                    j.attempts++;
+                    j.lastAttempt++;
                 }
-                view.cluster.place(j, task, j.attempts, m, view.nowS).standby = true;
-                view.usage.put(j.spec.team(), used);
+                view.cluster.place(j, task, j.lastAttempt, m, view.nowS).standby = true;
+                view.usageByTeam.put(j.spec.team(), used);
                 e.setValue(e.getValue().minus(need));
                 budget--;
             }
--- a/src/main/java/org/mountlug/core/allocate/MachineHolding.java
+++ b/src/main/java/org/mountlug/core/allocate/GangMachineHolds.java
@@ -12,19 +12,22 @@
 import org.mountlug.core.model.Resources;
 
 /** Keeps machines that should be free first for gangs that found no room, from one round to the next. */
-final class MachineHolding {
-    private final RoundView view;
+final class GangMachineHolds {
+    private final RoundState view;
 
-    MachineHolding(RoundView view) {
+    GangMachineHolds(RoundState view) {
         this.view = view;
     }
 
     /** Lets go of machines whose gang needs them no more. */
-    void review() {
+    void releaseUnneeded() {
         for (Machine m : view.cluster.machines.values()) {
-            Job j = m.heldFor == null ? null : view.cluster.jobs.get(m.heldFor);
-            if (j == null || j.cancelled || !j.placed.isEmpty() || view.cluster.reservations.containsKey(m.heldFor)) {
-                m.heldFor = null;
+            Job j = m.heldForGang == null ? null : view.cluster.jobs.get(m.heldForGang);
+            if (j == null
+                    || j.cancelled
+                    || !j.placements.isEmpty()
+                    || view.cluster.reservations.containsKey(m.heldForGang)) {
+                m.heldForGang = null;
             }
         }
     }
@@ -34,35 +37,35 @@
      * again. The design reserves room that tasks were told to leave; this does the same for room that tasks are about
      * to leave by themselves, without which a gang of view.whole machines starves behind a stream of small tasks.
      */
-    void hold(List<Job> pending) {
+    void holdMachines(List<Job> pending) {
         for (Job j : pending) {
-            if (!j.spec.gang()
-                    || !j.placed.isEmpty()
-                    || j.failureHistory.suspected()
+            if (!j.spec.isGang()
+                    || !j.placements.isEmpty()
+                    || j.failureHistory.isSuspected()
                     || view.cluster.reservations.containsKey(j.spec.id())) {
                 continue;
             }
             int missing = j.spec.tasks();
             String zone = null;
-            for (Node n : view.nodes.values()) {
-                if (j.spec.id().equals(n.machine.heldFor)) {
+            for (MachineView n : view.machineViews.values()) {
+                if (j.spec.id().equals(n.machine.heldForGang)) {
                     missing--;
                     zone = n.machine.zone;
                 }
             }
             while (missing-- > 0) {
-                Node best = null;
-                double soonest = Constants.MACHINE_HELD_MAX_S;
-                for (Node n : view.nodes.values()) {
+                MachineView best = null;
+                double soonest = Constants.MAX_GANG_HOLD_WAIT_S;
+                for (MachineView n : view.machineViews.values()) {
                     Machine m = n.machine;
-                    if (m.heldFor != null || j.spec.oneZone() && zone != null && !zone.equals(m.zone)) {
+                    if (m.heldForGang != null || j.spec.oneZone() && zone != null && !zone.equals(m.zone)) {
                         continue;
                     }
                     if (!j.spec.allows(m.type.name(), m.zone, m.spot)
-                            || !j.spec.need().fitsIn(m.type.size())) {
+                            || !j.spec.request().fitsIn(m.type.capacity())) {
                         continue;
                     }
-                    double t = freeInS(n, j.spec.need());
+                    double t = freeInS(n, j.spec.request());
                     if (t < soonest) {
                         soonest = t;
                         best = n;
@@ -71,28 +74,28 @@
                 if (best == null) {
                     break;
                 }
-                best.machine.heldFor = j.spec.id();
+                best.machine.heldForGang = j.spec.id();
                 zone = best.machine.zone;
             }
         }
     }
 
     /** Seconds until a machine should have this much room, if it gets nothing new. */
-    private double freeInS(Node n, Resources need) {
-        List<Placement> l = new ArrayList<>(n.machine.placed.values());
+    private double freeInS(MachineView n, Resources need) {
+        List<Placement> l = new ArrayList<>(n.machine.placements.values());
         Map<Placement, Double> left = new HashMap<>();
         for (Placement p : l) {
-            double ran = Double.isNaN(p.runningS) ? 0 : view.nowS - p.runningS;
-            left.put(p, Math.max(1, view.cluster.expectedS(p.job) - ran));
+            double ran = Double.isNaN(p.runningSinceS) ? 0 : view.nowS - p.runningSinceS;
+            left.put(p, Math.max(1, view.cluster.expectedRunS(p.job) - ran));
         }
         l.sort(Comparator.comparingDouble(left::get));
-        Resources room = n.idle.minus(n.pipelined);
+        Resources room = n.free.minus(n.reserved);
         double t = 0;
         for (Placement p : l) {
             if (need.fitsIn(room)) {
                 break;
             }
-            room = room.plus(p.job.spec.need());
+            room = room.plus(p.job.spec.request());
             t = left.get(p);
         }
         return need.fitsIn(room) ? t : Double.MAX_VALUE;
--- a/src/main/java/org/mountlug/core/allocate/GangPlacement.java
+++ b/src/main/java/org/mountlug/core/allocate/GangPlacer.java
@@ -14,13 +14,13 @@
  * Gangs by the design: all tasks find idle room and start, or all find room that is idle or being released and reserve it, or
  * nothing is kept.
  */
-final class GangPlacement {
+final class GangPlacer {
     /** Seconds of a later start for which a gang's task stays with the machine that it was nominated for. */
     private static final double NOMINATED_S = 0.5;
 
-    private final RoundView view;
+    private final RoundState view;
 
-    GangPlacement(RoundView view) {
+    GangPlacer(RoundState view) {
         this.view = view;
     }
 
@@ -28,35 +28,35 @@
     void place(Job job) {
         List<Reservation> before = view.cluster.reservations.getOrDefault(job.spec.id(), List.of());
         if (!before.isEmpty()) {
-            view.refusedNeeds.clear();
+            view.unplaceableRequests.clear();
         }
-        Statement statement = mayStart(job) ? statement(job, nominated(before)) : null;
+        PlacementTransaction statement = mayStart(job) ? statement(job, nominated(before)) : null;
         if (statement == null) {
-            view.release(job);
+            view.releaseReservations(job);
             return;
         }
         view.cluster.reservations.remove(job.spec.id());
-        if (statement.ready(job.spec.tasks())) {
+        if (statement.isReady(job.spec.tasks())) {
             view.commit(statement);
-            view.usage.merge(job.spec.team(), job.spec.whole(), Resources::plus);
+            view.usageByTeam.merge(job.spec.team(), job.spec.totalRequest(), Resources::plus);
         } else {
-            view.cluster.reservations.put(job.spec.id(), statement.reserve());
+            view.cluster.reservations.put(job.spec.id(), statement.toReservations());
         }
     }
 
     /** Whether all of the gang may be placed as far as itself, its record and its team's limit are concerned. */
     private boolean mayStart(Job job) {
         for (int task = 0; task < job.spec.tasks(); task++) {
-            if (!job.wants(task, view.nowS)) {
+            if (!job.needsPlacement(task, view.nowS)) {
                 return false; // one task still waits out its failure
             }
         }
-        if (job.spec.tasks() > view.cluster.recordRoom(job)) {
+        if (job.spec.tasks() > view.cluster.remainingRecordTasks(job)) {
             return false; // what no record can hold must not start, and must not keep other records from being written
         }
         Team team = view.cluster.team(job.spec.team());
-        Resources used = view.usage.getOrDefault(job.spec.team(), Resources.ZERO);
-        return team == null || team.allows(used.plus(job.spec.whole()));
+        Resources used = view.usageByTeam.getOrDefault(job.spec.team(), Resources.ZERO);
+        return team == null || team.isWithinLimit(used.plus(job.spec.totalRequest()));
     }
 
     private static Map<Integer, String> nominated(List<Reservation> reservations) {
@@ -68,13 +68,13 @@
     }
 
     /** The first statement that keeps the gang whole, or null; one zone for all means that every zone is tried on its own. */
-    private Statement statement(Job job, Map<Integer, String> nominated) {
+    private PlacementTransaction statement(Job job, Map<Integer, String> nominated) {
         for (String zone : zones(job, nominated.values())) {
-            Statement statement = new Statement(job);
+            PlacementTransaction statement = new PlacementTransaction(job);
             List<Reservation> dropped = new ArrayList<>();
             fill(statement, zone, nominated, dropped);
-            boolean pipelined = !job.failureHistory.suspected() && statement.pipelined(job.spec.tasks());
-            if (statement.ready(job.spec.tasks()) || pipelined) {
+            boolean pipelined = !job.failureHistory.isSuspected() && statement.isReservable(job.spec.tasks());
+            if (statement.isReady(job.spec.tasks()) || pipelined) {
                 return statement;
             }
             statement.discard();
@@ -84,36 +84,37 @@
     }
 
     /** Tries each task in turn, until one finds no room; notes the reservations that were dropped for that. */
-    private void fill(Statement statement, String zone, Map<Integer, String> nominated, List<Reservation> dropped) {
+    private void fill(
+            PlacementTransaction statement, String zone, Map<Integer, String> nominated, List<Reservation> dropped) {
         Job job = statement.job;
         Map<String, Integer> perZone = new HashMap<>();
         for (int task = 0; task < job.spec.tasks(); task++) {
-            Node node = node(job, zone, perZone, nominated.get(task), task, dropped);
+            MachineView node = node(job, zone, perZone, nominated.get(task), task, dropped);
             if (node == null) {
                 return;
             }
             perZone.merge(node.machine.zone, 1, Integer::sum);
-            if (node.fitsNow(job.spec.need())) {
+            if (node.fitsNow(job.spec.request())) {
                 statement.allocate(task, node);
             } else {
-                statement.pipeline(task, node);
+                statement.reserve(task, node);
             }
         }
     }
 
     /** The machine for one task: the nominated one if it still covers the task, else by a full scan; null if none does. */
-    private Node node(
+    private MachineView node(
             Job job, String zone, Map<String, Integer> perZone, String nominated, int task, List<Reservation> dropped) {
         if (nominated == null) {
             return scan(job, zone, perZone, null);
         }
-        Resources need = job.spec.need();
-        Node before = view.nodes.get(nominated);
+        Resources need = job.spec.request();
+        MachineView before = view.machineViews.get(nominated);
         // The note's check counts the task's own reservation, which moves from reserved to tried, or is dropped.
-        boolean covered = before != null && allowed(job, before, zone, perZone) && need.fitsIn(before.future());
+        boolean covered = before != null && allowed(job, before, zone, perZone) && need.fitsIn(before.futureFree());
         dropped.add(new Reservation(task, nominated));
         if (before != null) {
-            before.pipelined = before.pipelined.minus(need);
+            before.reserved = before.reserved.minus(need);
         }
         return covered ? before : scan(job, zone, perZone, nominated);
     }
@@ -121,9 +122,9 @@
     /** Reservations dropped for a try that failed are put back for the next zone's try. */
     private void restore(Job job, List<Reservation> dropped) {
         for (Reservation reservation : dropped) {
-            Node node = view.nodes.get(reservation.machine());
+            MachineView node = view.machineViews.get(reservation.machine());
             if (node != null) {
-                node.pipelined = node.pipelined.plus(job.spec.need());
+                node.reserved = node.reserved.plus(job.spec.request());
             }
         }
     }
@@ -135,12 +136,12 @@
             return zones;
         }
         for (String machine : nominated) {
-            Node node = view.nodes.get(machine);
+            MachineView node = view.machineViews.get(machine);
             if (node != null && !zones.contains(node.machine.zone)) {
                 zones.add(node.machine.zone);
             }
         }
-        for (Node node : view.nodes.values()) {
+        for (MachineView node : view.machineViews.values()) {
             if (!zones.contains(node.machine.zone)) {
                 zones.add(node.machine.zone);
             }
@@ -148,32 +149,33 @@
         return zones;
     }
 
-    private boolean allowed(Job job, Node node, String zone, Map<String, Integer> perZone) {
+    private boolean allowed(Job job, MachineView node, String zone, Map<String, Integer> perZone) {
         Machine machine = node.machine;
-        return (machine.heldFor == null || machine.heldFor.equals(job.spec.id()))
+        return (machine.heldForGang == null || machine.heldForGang.equals(job.spec.id()))
                 && job.spec.allows(machine.type.name(), machine.zone, machine.spot)
                 && (zone == null || zone.equals(machine.zone))
-                && (!job.spec.apart() || perZone.getOrDefault(machine.zone, 0) < job.spec.zoneMost());
+                && (!job.spec.spreadAcrossZones()
+                        || perZone.getOrDefault(machine.zone, 0) < job.spec.maxTasksPerZone());
     }
 
     /** A full scan: idle room first, else future room; the machine nominated before wins a tie. */
-    private Node scan(Job job, String zone, Map<String, Integer> perZone, String before) {
-        Node now = null;
-        Node later = null;
+    private MachineView scan(Job job, String zone, Map<String, Integer> perZone, String before) {
+        MachineView now = null;
+        MachineView later = null;
         double nowCost = Double.MAX_VALUE;
         double laterCost = Double.MAX_VALUE;
-        Resources need = job.spec.need();
-        for (Node node : view.nodes.values()) {
+        Resources need = job.spec.request();
+        for (MachineView node : view.machineViews.values()) {
             if (!allowed(job, node, zone, perZone)) {
                 continue;
             }
-            double cost = view.cost(job, node) - (node.machine.name.equals(before) ? NOMINATED_S : 0);
+            double cost = view.placementCost(job, node) - (node.machine.name.equals(before) ? NOMINATED_S : 0);
             if (node.fitsNow(need)) {
                 if (cost < nowCost) {
                     nowCost = cost;
                     now = node;
                 }
-            } else if (need.fitsIn(node.future()) && cost < laterCost) {
+            } else if (need.fitsIn(node.futureFree()) && cost < laterCost) {
                 laterCost = cost;
                 later = node;
             }
--- a/src/main/java/org/mountlug/core/allocate/ReplicaPlacement.java
+++ b/src/main/java/org/mountlug/core/allocate/ReplicaPlacer.java
@@ -11,10 +11,10 @@
 import org.mountlug.core.model.Team;
 
 /** Replicas of services, each where it runs soonest and beside as few of its like as may be. */
-final class ReplicaPlacement {
-    private final RoundView view;
+final class ReplicaPlacer {
+    private final RoundState view;
 
-    ReplicaPlacement(RoundView view) {
+    ReplicaPlacer(RoundState view) {
         this.view = view;
     }
 
@@ -25,55 +25,59 @@
     void place(Job j) {
         JobSpec spec = j.spec;
         Team team = view.cluster.team(spec.team());
-        Resources used = view.usage.getOrDefault(spec.team(), Resources.ZERO);
-        int budget = view.cluster.recordRoom(j);
+        Resources used = view.usageByTeam.getOrDefault(spec.team(), Resources.ZERO);
+        int budget = view.cluster.remainingRecordTasks(j);
         Map<String, Integer> perZone = new HashMap<>();
         Map<String, Integer> perMachine = new HashMap<>();
         String only = null;
-        for (Placement p : j.placed.values()) {
+        for (Placement p : j.placements.values()) {
             perZone.merge(p.zone, 1, Integer::sum);
             perMachine.merge(p.machine, 1, Integer::sum);
             if (spec.oneZone()) {
                 only = p.zone;
             }
         }
-        Statement s = new Statement(j);
-        Node warm = j.placed.isEmpty() && spec.tasks() >= Constants.WARMING_TASKS ? warming(j) : null;
+        PlacementTransaction s = new PlacementTransaction(j);
+        MachineView warm =
+                j.placements.isEmpty() && spec.tasks() >= Constants.IMAGE_WARMUP_MIN_REPLICAS ? warming(j) : null;
         for (int t = 0; t < spec.tasks() && budget > 0; t++) {
-            if (!j.wants(t, view.nowS)) {
+            if (!j.needsPlacement(t, view.nowS)) {
                 continue;
             }
-            if (team != null && !team.allows(used.plus(spec.need()))) {
+            if (team != null && !team.isWithinLimit(used.plus(spec.request()))) {
                 break;
             }
-            Node best = null;
+            MachineView best = null;
             if (warm != null
                     && t == spec.tasks() - 1
-                    && (!spec.apart() || perZone.getOrDefault(warm.machine.zone, 0) < spec.zoneMost())) {
+                    && (!spec.spreadAcrossZones()
+                            || perZone.getOrDefault(warm.machine.zone, 0) < spec.maxTasksPerZone())) {
                 best = warm;
             }
             double least = Double.MAX_VALUE;
             if (best == null) {
-                for (Node n : view.nodes.values()) {
+                for (MachineView n : view.machineViews.values()) {
                     Machine m = n.machine;
-                    if (m.heldFor != null || !spec.allows(m.type.name(), m.zone, m.spot)) {
+                    if (m.heldForGang != null || !spec.allows(m.type.name(), m.zone, m.spot)) {
                         continue;
                     }
                     if (only != null && !only.equals(m.zone)) {
                         continue;
                     }
-                    if (spec.apart() && perZone.getOrDefault(m.zone, 0) >= spec.zoneMost()) {
+                    if (spec.spreadAcrossZones() && perZone.getOrDefault(m.zone, 0) >= spec.maxTasksPerZone()) {
                         continue;
                     }
                     // Room on a cheap machine, made by stopping what ends anyway, is worth a moment.
-                    if (view.times.mayWait(j)
-                            && (spec.need().gpus() == 0 && m.type.size().gpus() > 0 || view.times.lateS(j, m) > 0)) {
+                    if (view.replicaStartTimes.canWait(j)
+                            && (spec.request().gpus() == 0 && m.type.capacity().gpus() > 0
+                                    || view.replicaStartTimes.latenessS(j, m) > 0)) {
                         continue;
                     }
-                    if (n.countBeside(spec.need()) < 1) {
+                    if (n.countReplicasFittingNow(spec.request()) < 1) {
                         continue;
                     }
-                    double c = replicaCost(j, t, n) + Constants.REPLICAS_APART_S * perMachine.getOrDefault(m.name, 0);
+                    double c =
+                            replicaCost(j, t, n) + Constants.REPLICA_SPREAD_COST_S * perMachine.getOrDefault(m.name, 0);
                     if (c < least || c == least && m.name.compareTo(best.machine.name) < 0) {
                         least = c;
                         best = n;
@@ -84,7 +88,7 @@
                 break;
             }
             s.allocate(t, best);
-            used = used.plus(spec.need());
+            used = used.plus(spec.request());
             perZone.merge(best.machine.zone, 1, Integer::sum);
             perMachine.merge(best.machine.name, 1, Integer::sum);
             if (spec.oneZone()) {
@@ -92,8 +96,8 @@
             }
             budget--;
         }
-        if (s.ready(1)) {
-            view.usage.put(spec.team(), used);
+        if (s.isReady(1)) {
+            view.usageByTeam.put(spec.team(), used);
             view.commit(s);
         }
     }
@@ -103,53 +107,56 @@
      * would those of the next service, as no cheap machine ever got the image. So one replica of many goes to the
      * cheapest place a replica that holds most of them, late as it is, until two such machines have the image.
      */
-    private Node warming(Job j) {
+    private MachineView warming(Job j) {
         JobSpec s = j.spec;
-        if (s.oneZone() || s.need().gpus() > 0) {
+        if (s.oneZone() || s.request().gpus() > 0) {
             return null;
         }
-        Node best = null;
+        MachineView best = null;
         int most = 0;
         int warm = 0;
-        for (Node n : view.nodes.values()) {
+        for (MachineView n : view.machineViews.values()) {
             Machine m = n.machine;
-            if (m.type.size().gpus() > 0 || m.heldFor != null || !s.allows(m.type.name(), m.zone, m.spot)) {
+            if (m.type.capacity().gpus() > 0 || m.heldForGang != null || !s.allows(m.type.name(), m.zone, m.spot)) {
                 continue;
             }
-            int holds = s.need().countIn(m.type.size());
-            if (view.times.lateS(j, m) <= 0 && !m.images.contains(s.image())) {
+            int holds = s.request().countIn(m.type.capacity());
+            if (view.replicaStartTimes.latenessS(j, m) <= 0 && !m.cachedImages.contains(s.image())) {
                 return null; // cold ones are no trouble
             }
-            if (view.times.fetchS(j, m) < s.imageGb() / Math.max(0.01, m.type.fetchGbPerS())) {
+            if (view.replicaStartTimes.imageFetchS(j, m) < s.imageGb() / Math.max(0.01, m.type.fetchGbPerS())) {
                 if (holds >= s.tasks()) {
                     warm++;
                 }
-            } else if (holds > most && n.countBeside(s.need()) > 0) {
+            } else if (holds > most && n.countReplicasFittingNow(s.request()) > 0) {
                 most = holds;
                 best = n;
             }
         }
-        return warm < Constants.WARM_PLACES ? best : null;
+        return warm < Constants.IMAGE_WARMUP_MACHINES ? best : null;
     }
 
     /**
      * Lower is better. Seconds count little up to when the replica should run, and much from then on; what it costs to
      * keep an expensive machine for it lies between, as a replica stays for as long as its user orders.
      */
-    private double replicaCost(Job j, int task, Node n) {
+    private double replicaCost(Job j, int task, MachineView n) {
         Machine m = n.machine;
-        double c = view.times.fetchS(j, m) * Constants.EARLIER_WORTH + view.times.lateS(j, m) * Constants.LATER_COST;
+        double c = view.replicaStartTimes.imageFetchS(j, m) * Constants.FETCH_TIME_WEIGHT
+                + view.replicaStartTimes.latenessS(j, m) * Constants.LATENESS_WEIGHT;
         boolean first = true;
-        for (Placement p : m.placed.values()) {
-            first &= !p.job.spec.service();
+        for (Placement p : m.placements.values()) {
+            first &= !p.job.spec.isService();
         }
         // The first replica keeps the view.whole machine from being returned; those that join it cost nothing more.
         if (first) {
-            c += Math.min(Constants.KEPT_MOST_S, m.type.price(m.spot) / view.cheapestPrice * Constants.KEPT_S);
+            c += Math.min(
+                    Constants.MAX_KEPT_MACHINE_COST_S,
+                    m.type.pricePerHour(m.spot) / view.lowestPricePerHour * Constants.KEPT_MACHINE_COST_S);
         }
-        if (m.name.equals(j.avoid.get(task))) {
-            c += Constants.ENDED_HERE_S;
+        if (m.name.equals(j.avoidedMachineByTask.get(task))) {
+            c += Constants.REPLICA_EXIT_PENALTY_S;
         }
-        return c + 2 * (1 - n.busyShare()) + 5 * m.failures();
+        return c + 2 * (1 - n.utilization()) + 5 * m.failureCount();
     }
 }
--- a/src/main/java/org/mountlug/core/allocate/TeamQueues.java
+++ b/src/main/java/org/mountlug/core/allocate/TeamQueues.java
@@ -36,29 +36,29 @@
      * Sorts the jobs into their queues.
      *
      * @param displacement the order of all work while a zone is not present, else null
-     * @param whole the room of all machines together
+     * @param totalCapacity the room of all machines together
      */
     public TeamQueues(
             Iterable<Job> jobs,
-            ToDoubleFunction<Job> dueOrder,
+            ToDoubleFunction<Job> orderKey,
             DisplacementOrder displacement,
             Function<String, Team> teams,
             Map<String, Resources> usage,
-            Resources whole,
+            Resources totalCapacity,
             double nowS) {
         this.displacement = displacement;
         this.teams = teams;
         this.usage = usage;
-        this.whole = whole;
+        this.whole = totalCapacity;
         List<Job> sorted = new ArrayList<>();
         jobs.forEach(sorted::add);
         sorted.sort(
                 displacement != null
                         ? displacement
-                        : Comparator.comparingDouble(dueOrder).thenComparing(job -> job.spec.id()));
+                        : Comparator.comparingDouble(orderKey).thenComparing(job -> job.spec.id()));
         List<Job> late = new ArrayList<>();
         for (Job job : sorted) {
-            if (!job.begun && nowS - job.seenS > Constants.BEGIN_WITHIN_S) {
+            if (!job.everPlaced && nowS - job.waitingSinceS > Constants.STARVATION_LIMIT_S) {
                 late.add(job);
             } else {
                 queues.computeIfAbsent(level(job), level -> new HashMap<>())
@@ -73,7 +73,7 @@
     private int level(Job job) {
         return displacement != null
                 ? displacement.level(job)
-                : -job.spec.urgency().ordinal();
+                : -job.spec.priority().ordinal();
     }
 
     /** The next job, or null; {@code usage} may change between calls. */
@@ -122,9 +122,9 @@
         Team team = teams.apply(name);
         Resources used = usage.getOrDefault(name, Resources.ZERO);
         double weight = team == null ? 1 : team.weight();
-        if (team != null && (team.cpus() > 0 || team.gpus() > 0)) {
-            return used.shareOf(new Resources(team.cpus(), team.gpus(), 0)) / weight;
+        if (team != null && (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0)) {
+            return used.dominantShareOf(new Resources(team.guaranteedCpus(), team.guaranteedGpus(), 0)) / weight;
         }
-        return 1 + used.shareOf(whole) / weight;
+        return 1 + used.dominantShareOf(whole) / weight;
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/EventSummary.java
+++ b/src/main/java/org/mountlug/core/cluster/EventSummary.java
@@ -34,7 +34,7 @@
     }
 
     /** One line for each event. */
-    public List<String> details() {
+    public List<String> detailLines() {
         List<String> lines = new ArrayList<>();
         subjects.forEach((kind, all) -> all.forEach(subject -> lines.add(kind + ": " + subject)));
         return lines;
--- a/src/main/java/org/mountlug/core/cluster/FailureBlame.java
+++ b/src/main/java/org/mountlug/core/cluster/FailureAttribution.java
@@ -12,24 +12,24 @@
  * machines and works on none is suspected instead, and from then on its failures count against no machine; what they
  * have counted before is taken back.
  */
-final class FailureBlame {
+final class FailureAttribution {
     private final Function<String, Machine> machines;
     private final BiConsumer<String, String> events;
 
     /** @param machines finds a machine by name, or null */
-    FailureBlame(Function<String, Machine> machines, BiConsumer<String, String> events) {
+    FailureAttribution(Function<String, Machine> machines, BiConsumer<String, String> events) {
         this.machines = machines;
         this.events = events;
     }
 
     /** A task of the job has failed on the machine. */
-    void failed(Machine machine, Job job, long attempt) {
+    void recordFailure(Machine machine, Job job, long attempt) {
         FailureHistory history = job.failureHistory;
-        history.failed(machine.name, attempt);
-        if (history.suspected()) {
+        history.recordFailure(machine.name, attempt);
+        if (history.isSuspected()) {
             return;
         }
-        machine.failedJobs.merge(job, 1, Integer::sum);
+        machine.failuresByJob.merge(job, 1, Integer::sum);
         if (failsEverywhere(job)) {
             suspect(job);
         }
@@ -37,18 +37,18 @@
     }
 
     /** A task of the job has completed on the machine, or a replica of it has run for long. */
-    void succeeded(Machine machine, Job job) {
-        machine.failedJobs.clear();
+    void recordSuccess(Machine machine, Job job) {
+        machine.failuresByJob.clear();
         FailureHistory history = job.failureHistory;
-        if (history.machines().isEmpty()) {
+        if (history.failedMachines().isEmpty()) {
             return;
         }
-        if (history.suspected()) {
+        if (history.isSuspected()) {
             events.accept("no longer suspected, as a task has completed", job.spec.id());
         }
         // The blame for its failures is settled: they were the machines'.
-        String[] failedOn = history.machines().toArray(new String[0]);
-        history.completed();
+        String[] failedOn = history.failedMachines().toArray(new String[0]);
+        history.recordCompletion();
         for (String name : failedOn) {
             Machine other = machines.apply(name);
             if (other != null) {
@@ -58,32 +58,32 @@
     }
 
     /** A job that earlier leaders saw fail again and again and never complete anything begins under suspicion. */
-    void loaded(Job job) {
+    void recordLoadedJob(Job job) {
         int failures = 0;
-        for (int n : job.failures.values()) {
+        for (int n : job.failuresByTask.values()) {
             failures += n;
         }
-        if (failures >= Constants.SUSPECT_MACHINES && job.done.isEmpty() && !job.spec.service()) {
+        if (failures >= Constants.SUSPECT_JOB_MACHINES && job.doneTasks.isEmpty() && !job.spec.isService()) {
             suspect(job);
         }
     }
 
     /** The job is over: one that was cancelled without ever having worked blames no machine. */
-    void over(Job job) {
-        if (job.done.isEmpty()) {
+    void recordFinishedJob(Job job) {
+        if (job.doneTasks.isEmpty()) {
             takeBack(job);
         }
     }
 
     private static boolean failsEverywhere(Job job) {
-        int failedOn = job.failureHistory.machines().size();
-        if (failedOn < Constants.SUSPECT_MACHINES || !job.done.isEmpty()) {
+        int failedOn = job.failureHistory.failedMachines().size();
+        if (failedOn < Constants.SUSPECT_JOB_MACHINES || !job.doneTasks.isEmpty()) {
             return false;
         }
         // What runs on other machines may fail there as well, or be the proof that it works.
-        long runsElsewhere = job.placed.values().stream()
-                .filter(p -> !Double.isNaN(p.runningS)
-                        && !job.failureHistory.machines().contains(p.machine))
+        long runsElsewhere = job.placements.values().stream()
+                .filter(p -> !Double.isNaN(p.runningSinceS)
+                        && !job.failureHistory.failedMachines().contains(p.machine))
                 .map(p -> p.machine)
                 .distinct()
                 .count();
@@ -93,42 +93,42 @@
     private void suspect(Job job) {
         events.accept("suspected, as it fails on every machine; tried one attempt at a time", job.spec.id());
         takeBack(job);
-        job.failureHistory.suspect();
+        job.failureHistory.markSuspected();
     }
 
     private void takeBack(Job job) {
-        for (String name : job.failureHistory.machines()) {
+        for (String name : job.failureHistory.failedMachines()) {
             Machine machine = machines.apply(name);
-            if (machine == null || machine.failedJobs.remove(job) == null) {
+            if (machine == null || machine.failuresByJob.remove(job) == null) {
                 continue;
             }
-            if (machine.condemnedForFailures && !machine.releasing && !guilty(machine)) {
-                machine.condemnedForFailures = false;
-                machine.sick = false;
+            if (machine.quarantinedForFailures && !machine.beingReturned && !guilty(machine)) {
+                machine.quarantinedForFailures = false;
+                machine.quarantined = false;
                 events.accept("quarantine lifted, failures were the fault of " + job.spec.id(), machine.name);
             }
         }
     }
 
     private void judge(Machine machine) {
-        if (machine.sick || !guilty(machine)) {
+        if (machine.quarantined || !guilty(machine)) {
             return;
         }
-        machine.sick = true;
-        machine.condemnedForFailures = true;
+        machine.quarantined = true;
+        machine.quarantinedForFailures = true;
         events.accept("quarantined after failures", machine.name);
     }
 
     private static boolean guilty(Machine machine) {
-        return machine.failures() >= Constants.SICK_FAILURES
-                && (machine.failedJobs.size() >= 2
-                        || machine.failedJobs.keySet().stream().anyMatch(job -> worksElsewhere(job, machine)));
+        return machine.failureCount() >= Constants.QUARANTINE_FAILURES
+                && (machine.failuresByJob.size() >= 2
+                        || machine.failuresByJob.keySet().stream().anyMatch(job -> worksElsewhere(job, machine)));
     }
 
     private static boolean worksElsewhere(Job job, Machine machine) {
-        return !job.done.isEmpty()
-                || job.spec.service()
-                        && job.placed.values().stream()
-                                .anyMatch(p -> !p.machine.equals(machine.name) && !Double.isNaN(p.runningS));
+        return !job.doneTasks.isEmpty()
+                || job.spec.isService()
+                        && job.placements.values().stream()
+                                .anyMatch(p -> !p.machine.equals(machine.name) && !Double.isNaN(p.runningSinceS));
     }
 }
--- a/src/main/java/org/mountlug/core/cluster/FleetStatus.java
+++ b/src/main/java/org/mountlug/core/cluster/FleetStatus.java
@@ -8,5 +8,5 @@
         int booting,
         int silent,
         int quarantined,
-        long lost,
-        long failed) {}
+        long lostTasks,
+        long failedTasks) {}
--- a/src/main/java/org/mountlug/core/cluster/RecordRoom.java
+++ b/src/main/java/org/mountlug/core/cluster/RecordCapacity.java
@@ -7,17 +7,17 @@
 import org.mountlug.core.model.Placement;
 
 /** How much of a job one record holds, as long as no parts may be written. */
-final class RecordRoom {
+final class RecordCapacity {
     private boolean parts;
-    private double recordChars = 8 * 1024 * Constants.VALUE_FILL - Constants.RECORD_FIXED_CHARS;
+    private double recordChars = 8 * 1024 * Constants.VALUE_FILL_SHARE - Constants.RECORD_FIXED_CHARS;
 
     /** Tells how many KiB a record may have. */
-    void valueLimit(double kib) {
-        recordChars = kib * 1024 * Constants.VALUE_FILL - Constants.RECORD_FIXED_CHARS;
+    void setValueLimitKib(double kib) {
+        recordChars = kib * 1024 * Constants.VALUE_FILL_SHARE - Constants.RECORD_FIXED_CHARS;
     }
 
     /** From now on what does not fit goes into parts. */
-    void partsAllowed() {
+    void allowParts() {
         parts = true;
     }
 
@@ -26,25 +26,26 @@
      * tasks that are placed now end: of a run of tasks every second one may stay, each then written by itself, and each
      * new task may need a machine of its own.
      */
-    int of(Job j) {
+    int remainingTasks(Job j) {
         if (parts) {
             return Integer.MAX_VALUE;
         }
         int digits = Integer.toString(j.spec.tasks()).length();
-        int task = digits + Long.toString(j.attempts + 1).length() + 2;
-        double used =
-                j.spec.lane().length() + j.spec.team().length() + j.spec.image().length();
-        if (j.spec.types() != null) {
-            for (String t : j.spec.types()) {
+        int task = digits + Long.toString(j.lastAttempt + 1).length() + 2;
+        double used = j.spec.jobClass().length()
+                + j.spec.team().length()
+                + j.spec.image().length();
+        if (j.spec.machineTypes() != null) {
+            for (String t : j.spec.machineTypes()) {
                 used += t.length() + 3;
             }
         }
         Object2ObjectOpenHashMap<String, Placement> last = new Object2ObjectOpenHashMap<>();
         Object2IntOpenHashMap<String> run = new Object2IntOpenHashMap<>();
-        for (Placement p : j.placed.values()) {
+        for (Placement p : j.placements.values()) {
             Placement before = last.put(p.machine, p);
             if (before == null) {
-                used += p.machine.length() + Constants.RECORD_MACHINE_CHARS;
+                used += p.machine.length() + Constants.RECORD_MACHINE_OVERHEAD_CHARS;
             }
             boolean goesOn = before != null && before.task == p.task - 1 && before.attempt == p.attempt;
             int n = goesOn ? run.getInt(p.machine) + 1 : 1;
@@ -57,9 +58,9 @@
         // Done ranges lie between open or placed tasks; a bit a task is the other way to write them.
         double bits = j.spec.tasks() / 6.0 + 8;
         int range = 2 * digits + 2;
-        double done = Math.min(bits, range * (j.placed.size() + 1.0));
-        double each = task + Constants.RECORD_MACHINE_NAME + Constants.RECORD_MACHINE_CHARS;
-        if (bits > range * (j.placed.size() + 1.0)) {
+        double done = Math.min(bits, range * (j.placements.size() + 1.0));
+        double each = task + Constants.ASSUMED_MACHINE_NAME_CHARS + Constants.RECORD_MACHINE_OVERHEAD_CHARS;
+        if (bits > range * (j.placements.size() + 1.0)) {
             each += range;
         }
         return (int) Math.max(0, Math.floor((recordChars - used - done) / each));
--- a/src/main/java/org/mountlug/core/cluster/ReportHandler.java
+++ b/src/main/java/org/mountlug/core/cluster/ReportHandler.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 import org.mountlug.Constants;
-import org.mountlug.core.model.Cause;
+import org.mountlug.core.model.AttemptState;
+import org.mountlug.core.model.Command;
+import org.mountlug.core.model.ExitCause;
 import org.mountlug.core.model.Job;
-import org.mountlug.core.model.Order;
 import org.mountlug.core.model.Placement;
 import org.mountlug.core.model.Report;
-import org.mountlug.core.model.TaskState;
 
 /**
  * Workers' reports: what each proves of the attempts that are placed there, and what to answer. A report counts as proof
@@ -26,20 +26,20 @@
     }
 
     /** Takes in a worker's report and says what to answer; null means the reporter knows a newer leader than us. */
-    List<Order> report(Report r, boolean mayStart, double nowS) {
+    List<Command> handleReport(Report r, boolean mayStart, double nowS) {
         if (r.token() > cluster.token()) {
             return null;
         }
-        if (cluster.departed(r.machine())) {
+        if (cluster.isMachineGone(r.machine())) {
             return List.of(); // a late word of a machine that was returned
         }
         Machine m = cluster.machines.get(r.machine());
         if (m == null) {
             m = new Machine(r.machine(), nowS);
-            cluster.added(m);
-            cluster.event("found " + r.type() + " in " + r.zone() + (r.spot() ? " spot" : ""), m.name);
+            cluster.addMachine(m);
+            cluster.addEvent("found " + r.machineType() + " in " + r.zone() + (r.spot() ? " spot" : ""), m.name);
         }
-        if (!r.newerThan(m.session, m.sequence)) {
+        if (!r.isNewerThan(m.session, m.sequence)) {
             // Overtaken by the answer to orders sent directly to the worker, it may still be the one report that it
             // waits
             // for, and then what we answer renews its lease. A copy of a report that we had is no such thing, nor is
@@ -47,55 +47,55 @@
             // that a later report has followed.
             if (r.session() == m.session && r.sequence() > m.reportSequence) {
                 m.reportSequence = r.sequence();
-                m.answeredS = nowS;
+                m.lastResponseS = nowS;
             }
             return List.of(); // held back on its way: as old as its sequence
         }
-        if (!m.up) {
-            m.firstHeard(nowS);
+        if (!m.hasReported) {
+            m.recordFirstReport(nowS);
         }
-        boolean served = m.synced && !m.deaf;
+        boolean served = m.tokenConfirmed && !m.unreachable;
         if (r.session() > m.session && m.sequence >= 0) {
-            m.deaf = true;
+            m.unreachable = true;
         } else if (r.token() == cluster.token()
                 && r.sequence() == m.sequence + 1
-                && nowS - m.heardS < Constants.STAYED_S) {
-            m.deaf = false;
+                && nowS - m.lastReportS < Constants.MAX_CONSECUTIVE_REPORT_GAP_S) {
+            m.unreachable = false;
         }
-        m.type = cluster.type(r.type());
+        m.type = cluster.type(r.machineType());
         m.zone = r.zone();
         m.spot = r.spot();
         m.address = r.address();
-        if (nowS - m.heardS > leaseS / 2) {
-            m.gapS = nowS;
+        if (nowS - m.lastReportS > leaseS / 2) {
+            m.silenceEndedS = nowS;
         }
-        m.heardS = nowS;
+        m.lastReportS = nowS;
         if (r.session() != m.session) {
-            m.ended.clear();
-            m.atLarge.clear(); // a command names its session
+            m.exitedAttempts.clear();
+            m.unconfirmedStarts.clear(); // a command names its session
         }
         m.session = r.session();
         m.sequence = r.sequence();
         m.reportSequence = r.sequence();
-        if (!Double.isNaN(r.recallS())) {
-            if (Double.isNaN(m.takenS)) {
-                cluster.event("notice, taken in " + Math.round(r.recallS()) + " s", m.name);
+        if (!Double.isNaN(r.reclaimInS())) {
+            if (Double.isNaN(m.reclaimAtS)) {
+                cluster.addEvent("notice, taken in " + Math.round(r.reclaimInS()) + " s", m.name);
             }
-            m.takenS = nowS + r.recallS();
+            m.reclaimAtS = nowS + r.reclaimInS();
         }
         // A report under an older cluster.token() may be followed by an older leader's word; it proves nothing.
-        m.synced = r.token() == cluster.token();
+        m.tokenConfirmed = r.token() == cluster.token();
         // Nothing could be given to it until now, so it has not been idle; else what comes back from a cut is returned.
-        if (!served && m.synced && !m.deaf) {
+        if (!served && m.tokenConfirmed && !m.unreachable) {
             m.idleSinceS = nowS;
         }
-        if (m.synced && !m.deaf) {
-            m.unheardSinceS = Double.NaN;
-        } else if (Double.isNaN(m.unheardSinceS)) {
-            m.unheardSinceS = nowS;
+        if (m.tokenConfirmed && !m.unreachable) {
+            m.outOfContactSinceS = Double.NaN;
+        } else if (Double.isNaN(m.outOfContactSinceS)) {
+            m.outOfContactSinceS = nowS;
         }
-        m.answeredS = nowS;
-        if (!m.synced) {
+        m.lastResponseS = nowS;
+        if (!m.tokenConfirmed) {
             return stops(m, r);
         }
         return settle(m, r, mayStart, nowS);
@@ -105,94 +105,98 @@
      * What can be said to a worker that has not seen our cluster.token(): cancelled tasks stop with the first answer, as the same
      * answer renews their lease and leaders may change again before the next. A stop names an attempt and proves nothing.
      */
-    private List<Order> stops(Machine m, Report r) {
-        List<Order> orders = new ArrayList<>();
-        for (Report.Item i : r.tasks()) {
-            Placement p = m.placed.get(i.job() + "/" + i.task());
-            if (p == null || p.attempt != i.attempt() || !p.job.cancelled || i.state() == TaskState.EXITED) {
+    private List<Command> stops(Machine m, Report r) {
+        List<Command> orders = new ArrayList<>();
+        for (Report.AttemptStatus i : r.attempts()) {
+            Placement p = m.placements.get(i.job() + "/" + i.task());
+            if (p == null || p.attempt != i.attempt() || !p.job.cancelled || i.state() == AttemptState.EXITED) {
                 continue;
             }
-            orders.add(new Order(Order.Verb.STOP, p.name(), p.attempt, p.leewayS));
+            orders.add(new Command(Command.Verb.STOP, p.taskName(), p.attempt, p.gracePeriodS));
         }
         return orders;
     }
 
     /** Takes in what a report shows of an attempt that is placed there. */
-    void shown(Machine m, Placement p, Report.Item i, String key, double nowS) {
-        p.seen = true;
+    void updateFromReport(Machine m, Placement p, Report.AttemptStatus i, String key, double nowS) {
+        p.reported = true;
         p.state = i.state();
-        if (i.state() == TaskState.EXITED) {
+        if (i.state() == AttemptState.EXITED) {
             ended(m, p, i, key, nowS);
-        } else if (i.state() == TaskState.RUNNING && Double.isNaN(p.runningS)) {
-            p.runningS = nowS;
-            cluster.started(p);
-            if (p.job.spec.service()) {
-                p.job.touch(p.task, nowS, false); // its user is told how many run
+        } else if (i.state() == AttemptState.RUNNING && Double.isNaN(p.runningSinceS)) {
+            p.runningSinceS = nowS;
+            cluster.recordStart(p);
+            if (p.job.spec.isService()) {
+                p.job.markChanged(p.task, nowS, false); // its user is told how many run
             }
-            m.images.remove(p.job.spec.image());
-            m.images.add(p.job.spec.image());
+            m.cachedImages.remove(p.job.spec.image());
+            m.cachedImages.add(p.job.spec.image());
         }
     }
 
-    private List<Order> settle(Machine m, Report r, boolean mayStart, double nowS) {
-        List<Order> orders = new ArrayList<>();
-        Map<String, Report.Item> shown = new HashMap<>();
-        for (Report.Item i : r.tasks()) {
-            shown.put(Machine.key(i.job(), i.task(), i.attempt()), i);
+    private List<Command> settle(Machine m, Report r, boolean mayStart, double nowS) {
+        List<Command> orders = new ArrayList<>();
+        Map<String, Report.AttemptStatus> shown = new HashMap<>();
+        for (Report.AttemptStatus i : r.attempts()) {
+            shown.put(Machine.attemptKey(i.job(), i.task(), i.attempt()), i);
         }
-        m.strays.clear();
-        for (Placement p : new ArrayList<>(m.placed.values())) {
+        m.orphans.clear();
+        for (Placement p : new ArrayList<>(m.placements.values())) {
             if (p.session < m.session) {
-                cluster.gone(p, nowS, 0, "new session");
+                cluster.recordLostAttempt(p, nowS, 0, "new session");
                 continue;
             }
-            String key = Machine.key(p.job.spec.id(), p.task, p.attempt);
-            Report.Item i = shown.remove(key);
+            String key = Machine.attemptKey(p.job.spec.id(), p.task, p.attempt);
+            Report.AttemptStatus i = shown.remove(key);
             if (i == null) {
                 absent(m, p, r, nowS);
                 continue;
             }
-            shown(m, p, i, key, nowS);
-            if (i.state() != TaskState.EXITED && p.stopping) {
-                orders.add(new Order(Order.Verb.STOP, p.name(), p.attempt, p.leewayS));
+            updateFromReport(m, p, i, key, nowS);
+            if (i.state() != AttemptState.EXITED && p.stopping) {
+                orders.add(new Command(Command.Verb.STOP, p.taskName(), p.attempt, p.gracePeriodS));
             }
         }
-        for (Report.Item i : r.tasks()) {
-            String key = Machine.key(i.job(), i.task(), i.attempt());
+        for (Report.AttemptStatus i : r.attempts()) {
+            String key = Machine.attemptKey(i.job(), i.task(), i.attempt());
             String name = i.job() + "/" + i.task();
-            if (i.state() == TaskState.EXITED) {
-                Machine.Ended e = m.ended.get(key);
+            if (i.state() == AttemptState.EXITED) {
+                Machine.ExitedAttempt e = m.exitedAttempts.get(key);
                 // Forgetting early would let a repeated start run it again, or lose the result.
                 // A start still at large would run it once more if it were forgotten.
-                if (m.atLarge.contains(key)) {
+                if (m.unconfirmedStarts.contains(key)) {
                     continue;
                 }
                 if (e == null || e.durable() || cluster.jobs.get(i.job()) != e.job()) {
-                    m.ended.remove(key);
-                    orders.add(new Order(Order.Verb.FORGET, name, i.attempt(), 0));
+                    m.exitedAttempts.remove(key);
+                    orders.add(new Command(Command.Verb.FORGET, name, i.attempt(), 0));
                 }
             } else if (shown.containsKey(key)) {
-                m.strays.put(key, i);
-                orders.add(new Order(Order.Verb.STOP, name, i.attempt(), 0));
+                m.orphans.put(key, i);
+                orders.add(new Command(Command.Verb.STOP, name, i.attempt(), 0));
             }
         }
         if (mayStart) {
-            for (Placement p : m.placed.values()) {
-                if (p.startSentIn >= 0 || p.seen || p.stopping || p.job.cancelled || p.session != m.session) {
+            for (Placement p : m.placements.values()) {
+                if (p.startReportSequence >= 0
+                        || p.reported
+                        || p.stopping
+                        || p.job.cancelled
+                        || p.session != m.session) {
                     continue;
                 }
-                if (!p.job.durable(p.task, p.version) || cluster.jobs.get(p.job.spec.id()) != p.job) {
+                if (!p.job.isDurable(p.task, p.version) || cluster.jobs.get(p.job.spec.id()) != p.job) {
                     continue;
                 }
                 if (p.standby && !mayBegin(m, p)) {
                     continue;
                 }
                 p.standby = false;
-                p.startSentIn = r.sequence();
-                orders.add(new Order(Order.Verb.START, p.name(), p.attempt, 0));
+                p.startReportSequence = r.sequence();
+                orders.add(new Command(Command.Verb.START, p.taskName(), p.attempt, 0));
             }
         }
-        if (!m.empty()) {
+        if (!m.isEmpty()) {
             m.idleSinceS = nowS;
         }
         return orders;
@@ -201,22 +205,22 @@
     /** Whether what a standby waited for has ended. */
     private static boolean mayBegin(Machine m, Placement p) {
         return m.type != null
-                && m.strays.isEmpty()
-                && p.job.spec.need().fitsIn(m.type.size().minus(m.used()));
+                && m.orphans.isEmpty()
+                && p.job.spec.request().fitsIn(m.type.capacity().minus(m.allocated()));
     }
 
     /** Standbys whose room has come free become ordinary placements; those that waited too long are given up. */
-    void reviewStandbys(double nowS) {
+    void updateStandbys(double nowS) {
         for (Machine m : cluster.machines.values()) {
-            for (Placement p : new ArrayList<>(m.placed.values())) {
+            for (Placement p : new ArrayList<>(m.placements.values())) {
                 if (!p.standby) {
                     continue;
                 }
                 if (mayBegin(m, p)) {
                     p.standby = false;
-                } else if (nowS - p.sinceS > Constants.STANDBY_MAX_S) {
-                    cluster.drop(p); // its start never left
-                    p.job.touch(p.task, nowS, false);
+                } else if (nowS - p.placedAtS > Constants.MAX_STANDBY_WAIT_S) {
+                    cluster.removePlacement(p); // its start never left
+                    p.job.markChanged(p.task, nowS, false);
                 }
             }
         }
@@ -224,64 +228,64 @@
 
     /** A newer report lacks an attempt: its start, if any, was dropped for good, since workers drop late answers. */
     private void absent(Machine m, Placement p, Report r, double nowS) {
-        if (p.seen) {
+        if (p.reported) {
             // At large, it could even begin once more; but a worker forgets an attempt only when told to.
-            cluster.gone(p, nowS, 0, "not reported any more");
-        } else if (p.startAtLarge) {
+            cluster.recordLostAttempt(p, nowS, 0, "not reported any more");
+        } else if (p.startUnconfirmed) {
             // No proof of anything, but an answer may bring the same start sooner; see unanswerable.
-            if (r.sequence() > p.startSentIn) {
-                p.startSentIn = -1;
+            if (r.sequence() > p.startReportSequence) {
+                p.startReportSequence = -1;
             }
         } else if (p.stopping) {
-            if (p.job.durable(p.task, p.version)) {
-                cluster.gone(p, nowS, 0, "stopped before it began");
+            if (p.job.isDurable(p.task, p.version)) {
+                cluster.recordLostAttempt(p, nowS, 0, "stopped before it began");
             }
-        } else if (p.startSentIn >= 0 && r.sequence() > p.startSentIn) {
+        } else if (p.startReportSequence >= 0 && r.sequence() > p.startReportSequence) {
             // Once, an answer was lost; twice, the machine does not hear us, and what waits for it must not wait
             // longer.
-            if (++p.ignored < Constants.IGNORED_STARTS) {
-                p.startSentIn = -1; // goes out again with this answer
+            if (++p.ignoredStarts < Constants.MAX_IGNORED_STARTS) {
+                p.startReportSequence = -1; // goes out again with this answer
             } else {
-                m.deaf = true;
-                cluster.gone(p, nowS, 0, "its start has no effect");
+                m.unreachable = true;
+                cluster.recordLostAttempt(p, nowS, 0, "its start has no effect");
             }
         }
     }
 
-    private void ended(Machine m, Placement p, Report.Item i, String key, double nowS) {
+    private void ended(Machine m, Placement p, Report.AttemptStatus i, String key, double nowS) {
         Job j = p.job;
-        if (j.spec.service()) {
-            cluster.gone(p, nowS, replicaEnded(m, p, i.cause(), nowS), "replica exited " + i.cause());
-        } else if (i.cause() == Cause.DONE) {
-            cluster.drop(p);
-            cluster.roomFreed(false);
-            cluster.completed(m, p, nowS);
-            if (j.spec.gang()) { // a gang completes together
-                j.done.set(0, j.spec.tasks());
-                for (int t = 0; t < j.spec.tasks(); t = j.from(j.partOf(t) + 1)) {
-                    j.touch(t, nowS, true);
+        if (j.spec.isService()) {
+            cluster.recordLostAttempt(p, nowS, replicaEnded(m, p, i.cause(), nowS), "replica exited " + i.cause());
+        } else if (i.cause() == ExitCause.DONE) {
+            cluster.removePlacement(p);
+            cluster.markCapacityFreed(false);
+            cluster.recordCompletion(m, p, nowS);
+            if (j.spec.isGang()) { // a gang completes together
+                j.doneTasks.set(0, j.spec.tasks());
+                for (int t = 0; t < j.spec.tasks(); t = j.firstTaskOf(j.partOf(t) + 1)) {
+                    j.markChanged(t, nowS, true);
                 }
             } else {
-                j.done.set(p.task);
+                j.doneTasks.set(p.task);
             }
-            j.failures.remove(p.task);
-            cluster.succeeded(m, j);
-            j.touch(p.task, nowS, j.complete());
+            j.failuresByTask.remove(p.task);
+            cluster.recordSuccess(m, j);
+            j.markChanged(p.task, nowS, j.isComplete());
         } else {
             double retry = 0;
-            if (i.cause() == Cause.ERROR) {
-                int n = j.failures.addTo(p.task, 1) + 1;
-                retry = Math.min(Constants.RETRY_MAX_S, Constants.RETRY_BASE_S * Math.pow(2, n - 1));
-                cluster.failed(m, j, p.attempt);
-                if (j.failureHistory.suspected()) {
-                    j.pausedUntilS = Math.max(j.pausedUntilS, nowS + j.failureHistory.retryS());
+            if (i.cause() == ExitCause.ERROR) {
+                int n = j.failuresByTask.addTo(p.task, 1) + 1;
+                retry = Math.min(Constants.MAX_TASK_RETRY_S, Constants.TASK_RETRY_BASE_S * Math.pow(2, n - 1));
+                cluster.recordFailure(m, j, p.attempt);
+                if (j.failureHistory.isSuspected()) {
+                    j.pausedUntilS = Math.max(j.pausedUntilS, nowS + j.failureHistory.retryDelayS());
                 }
-            } else if (i.cause() == Cause.FULL || i.cause() == Cause.BUSY || i.cause() == Cause.UNKNOWN) {
-                retry = Constants.REFUSED_RETRY_S;
+            } else if (i.cause() == ExitCause.FULL || i.cause() == ExitCause.BUSY || i.cause() == ExitCause.UNKNOWN) {
+                retry = Constants.REFUSED_START_RETRY_S;
             }
-            cluster.gone(p, nowS, retry, "exited " + i.cause() + (i.saved() ? ", saved" : ""));
+            cluster.recordLostAttempt(p, nowS, retry, "exited " + i.cause() + (i.saved() ? ", saved" : ""));
         }
-        m.ended.put(key, new Machine.Ended(j, p.task, j.version));
+        m.exitedAttempts.put(key, new Machine.ExitedAttempt(j, p.task, j.version));
     }
 
     /**
@@ -289,23 +293,23 @@
      * then: none for one that had settled or failed once, as the fault is most likely the machine's; one that ends at
      * once again and again must not take the turn of the others.
      */
-    private double replicaEnded(Machine m, Placement p, Cause cause, double nowS) {
+    private double replicaEnded(Machine m, Placement p, ExitCause cause, double nowS) {
         Job j = p.job;
-        if (cause == Cause.STOPPED) {
+        if (cause == ExitCause.STOPPED) {
             return 0;
         }
-        j.avoid.put(p.task, m.name);
-        if (cause == Cause.FULL || cause == Cause.BUSY || cause == Cause.UNKNOWN) {
-            return Constants.REFUSED_RETRY_S;
+        j.avoidedMachineByTask.put(p.task, m.name);
+        if (cause == ExitCause.FULL || cause == ExitCause.BUSY || cause == ExitCause.UNKNOWN) {
+            return Constants.REFUSED_START_RETRY_S;
         }
-        if (!Double.isNaN(p.runningS) && nowS - p.runningS > Constants.SETTLED_S) {
-            j.failures.remove(p.task);
-            cluster.succeeded(m, j);
+        if (!Double.isNaN(p.runningSinceS) && nowS - p.runningSinceS > Constants.REPLICA_STABLE_AFTER_S) {
+            j.failuresByTask.remove(p.task);
+            cluster.recordSuccess(m, j);
         }
-        int n = j.failures.addTo(p.task, 1) + 1;
-        if (cause == Cause.ERROR) {
-            cluster.failed(m, j, p.attempt);
+        int n = j.failuresByTask.addTo(p.task, 1) + 1;
+        if (cause == ExitCause.ERROR) {
+            cluster.recordFailure(m, j, p.attempt);
         }
-        return n < 2 ? 0 : Math.min(Constants.RETRY_MAX_S, Constants.RETRY_BASE_S * Math.pow(2, n - 2));
+        return n < 2 ? 0 : Math.min(Constants.MAX_TASK_RETRY_S, Constants.TASK_RETRY_BASE_S * Math.pow(2, n - 2));
     }
 }
--- a/src/main/java/org/mountlug/core/lead/Election.java
+++ b/src/main/java/org/mountlug/core/lead/Election.java
@@ -4,18 +4,18 @@
 
 /**
  * Who may act for the controllers. A node leads while the leader key on its lease is its own; the key's revision is the
- * fencing token, which renewals leave alone and every new term raises. Calls say what happened; {@link #next} says what
+ * fencing token, which renewals leave alone and every new term raises. Calls say what happened; {@link #nextStep} says what
  * to do.
  */
 public final class Election {
     /** The one step to take now. */
     public enum Step {
         NONE,
-        LOOK,
-        OPEN_LEASE,
+        READ_LEADER_KEY,
+        CREATE_LEASE,
         CAMPAIGN,
-        RENEW,
-        DROP_OLD_LEASE
+        RENEW_LEASE,
+        REVOKE_OLD_LEASE
     }
 
     private final String label;
@@ -23,17 +23,17 @@
     private boolean busy;
     private boolean leading;
     private long token;
-    private long lease;
+    private long leaseId;
     private double validUntilS = Double.NEGATIVE_INFINITY;
     private double lastRenewS;
     private boolean keyFree;
     private double campaignAtS;
     private double nextLookS;
-    private String leader;
-    private long seenStamp;
-    private long oldLease;
+    private String leaderLabel;
+    private long leaderKeyRevision;
+    private long oldLeaseId;
     /** The leader's lease, 0 once given up for ended. */
-    private long leaderLease;
+    private long leaderLeaseId;
 
     private double resignedUntilS = Double.NEGATIVE_INFINITY;
 
@@ -44,7 +44,7 @@
     }
 
     /** Whether this controller holds the leader key as far as it knows. */
-    public boolean leading() {
+    public boolean isLeading() {
         return leading;
     }
 
@@ -54,13 +54,13 @@
     }
 
     /** The lease that this controller has opened, 0 if none. */
-    public long lease() {
-        return lease;
+    public long leaseId() {
+        return leaseId;
     }
 
     /** The lease that has to be dropped, 0 if none. */
-    public long oldLease() {
-        return oldLease;
+    public long oldLeaseId() {
+        return oldLeaseId;
     }
 
     /** Tells this process from others of the same label. */
@@ -69,35 +69,35 @@
     }
 
     /** The leader's label as last seen, or null. */
-    public String leader() {
-        return leading ? label : leader;
+    public String leaderLabel() {
+        return leading ? label : leaderLabel;
     }
 
     /** Whether the lease is proven to be ours at this time; without that nothing may be started. */
-    public boolean proven(double nowS) {
+    public boolean isLeaseHeld(double nowS) {
         return leading && nowS < validUntilS;
     }
 
     /** The step to take now; its outcome has to be told before there is another. */
-    public Step next(double nowS) {
+    public Step nextStep(double nowS) {
         if (busy) {
             return Step.NONE;
         }
         if (leading) {
-            if (nowS - lastRenewS < Constants.LEADER_RENEW_MS / 1000.0) {
+            if (nowS - lastRenewS < Constants.LEADER_RENEW_INTERVAL_MS / 1000.0) {
                 return Step.NONE;
             }
-            return act(Step.RENEW);
+            return act(Step.RENEW_LEASE);
         }
-        if (oldLease != 0) {
-            return act(Step.DROP_OLD_LEASE);
+        if (oldLeaseId != 0) {
+            return act(Step.REVOKE_OLD_LEASE);
         }
         if (keyFree && nowS >= campaignAtS) {
-            return act(lease == 0 ? Step.OPEN_LEASE : Step.CAMPAIGN);
+            return act(leaseId == 0 ? Step.CREATE_LEASE : Step.CAMPAIGN);
         }
         if (!keyFree && nowS >= nextLookS) {
-            nextLookS = nowS + Constants.CAMPAIGN_RETRY_MS / 1000.0;
-            return act(Step.LOOK);
+            nextLookS = nowS + Constants.LEADER_KEY_POLL_MS / 1000.0;
+            return act(Step.READ_LEADER_KEY);
         }
         return Step.NONE;
     }
@@ -108,32 +108,33 @@
     }
 
     /** The leader key was read; {@code who} null means there is none. {@code random} in [0,1). */
-    public void looked(double nowS, String who, String itsNonce, long itsLease, long stamp, double random) {
+    public void onLeaderKeyRead(
+            double nowS, String currentLeader, String leaderNonce, long currentLeaseId, long revision, double random) {
         busy = false;
         if (leading) {
             return;
         }
-        if (who == null) {
+        if (currentLeader == null) {
             free(nowS, random);
             return;
         }
         keyFree = false;
-        seenStamp = stamp;
-        leader = who.equals(label) ? null : who;
-        leaderLease = itsLease;
-        if (!who.equals(label)) {
+        leaderKeyRevision = revision;
+        leaderLabel = currentLeader.equals(label) ? null : currentLeader;
+        leaderLeaseId = currentLeaseId;
+        if (!currentLeader.equals(label)) {
             return;
         }
-        if (nonce.equals(itsNonce) && itsLease == lease) {
-            won(nowS, stamp); // a campaign whose answer was lost
+        if (nonce.equals(leaderNonce) && currentLeaseId == leaseId) {
+            won(nowS, revision); // a campaign whose answer was lost
         } else {
             // An earlier process of this label is dead, or we would not run: no need to wait for its lease.
-            oldLease = itsLease;
+            oldLeaseId = currentLeaseId;
         }
     }
 
     /** The key was seen to vanish. */
-    public void vanished(double nowS, double random) {
+    public void onLeaderKeyDeleted(double nowS, double random) {
         if (leading) {
             return;
         }
@@ -142,10 +143,10 @@
 
     private void free(double nowS, double random) {
         if (!keyFree) {
-            campaignAtS = Math.max(nowS + random * Constants.CAMPAIGN_SPREAD_MS / 1000.0, resignedUntilS);
+            campaignAtS = Math.max(nowS + random * Constants.CAMPAIGN_JITTER_MS / 1000.0, resignedUntilS);
         }
         keyFree = true;
-        leader = null;
+        leaderLabel = null;
     }
 
     /**
@@ -156,57 +157,57 @@
         if (!leading) {
             return;
         }
-        oldLease = lease;
+        oldLeaseId = leaseId;
         depose();
-        resignedUntilS = nowS + Constants.RESIGNED_S;
+        resignedUntilS = nowS + Constants.RESIGNED_CAMPAIGN_PAUSE_S;
     }
 
     /**
      * The leader's process has ended, by all that its peers can tell: its lease need not be waited for. Should it live
      * after all, it is deposed like any other, as every transaction of its is guarded by the key that goes with the lease.
      */
-    public void leaderEnded(String who) {
-        if (leading || !who.equals(leader) || leaderLease == 0) {
+    public void onLeaderProcessEnded(String endedLabel) {
+        if (leading || !endedLabel.equals(leaderLabel) || leaderLeaseId == 0) {
             return;
         }
-        oldLease = leaderLease;
-        leaderLease = 0;
+        oldLeaseId = leaderLeaseId;
+        leaderLeaseId = 0;
     }
 
     /** A step got no usable answer. */
-    public void failed(double nowS) {
+    public void onStepFailed(double nowS) {
         busy = false;
         if (!leading) {
-            nextLookS = nowS + Constants.CAMPAIGN_RETRY_MS / 1000.0;
+            nextLookS = nowS + Constants.LEADER_KEY_POLL_MS / 1000.0;
             keyFree = false;
-            lease = 0;
+            leaseId = 0;
         } else {
-            lastRenewS = nowS - Constants.LEADER_RENEW_MS / 1000.0 * 0.6;
+            lastRenewS = nowS - Constants.LEADER_RENEW_INTERVAL_MS / 1000.0 * 0.6;
         }
     }
 
     /** The request to drop the old lease has been answered. */
-    public void oldLeaseDropped(double nowS) {
+    public void onOldLeaseRevoked(double nowS) {
         busy = false;
-        oldLease = 0;
+        oldLeaseId = 0;
         nextLookS = nowS;
     }
 
     /** A lease was opened by a request that was sent at {@code askedS}. */
-    public void leaseOpened(double askedS, long id) {
+    public void onLeaseCreated(double sentS, long id) {
         busy = false;
-        lease = id;
-        lastRenewS = askedS;
+        leaseId = id;
+        lastRenewS = sentS;
     }
 
     /** A campaign was answered; {@code epoch} is the token if it was won. */
-    public void campaigned(double nowS, boolean success, long epoch) {
+    public void onCampaignResponse(double nowS, boolean success, long revision) {
         busy = false;
         if (success) {
-            won(nowS, epoch);
+            won(nowS, revision);
         } else {
             keyFree = false;
-            lease = 0;
+            leaseId = 0;
             nextLookS = nowS;
         }
     }
@@ -219,19 +220,19 @@
         validUntilS = until(lastRenewS);
     }
 
-    private double until(double askedS) {
-        return askedS + Constants.LEADER_LEASE_MS / 1000.0 * (1 - Constants.DRIFT) - Constants.PROOF_MARGIN_S;
+    private double until(double sentS) {
+        return sentS + Constants.LEADER_LEASE_MS / 1000.0 * (1 - Constants.MAX_CLOCK_DRIFT) - Constants.TIMING_MARGIN_S;
     }
 
     /** A renewal was answered; {@code askedS} is when it was sent, the earliest moment from which it counts. */
-    public void renewed(double askedS, boolean alive) {
+    public void onRenewalResponse(double sentS, boolean alive) {
         busy = false;
         if (!leading) {
             return;
         }
         if (alive) {
-            lastRenewS = askedS;
-            validUntilS = until(askedS);
+            lastRenewS = sentS;
+            validUntilS = until(sentS);
         } else {
             depose();
         }
@@ -240,14 +241,14 @@
     /** A guarded transaction failed on the leader key, the lease ended, or a worker knows a higher token. */
     public void depose() {
         leading = false;
-        lease = 0;
+        leaseId = 0;
         keyFree = false;
-        leader = null;
+        leaderLabel = null;
         nextLookS = 0;
     }
 
     /** The revision of another controller's leader key, as last read. */
-    public long seenStamp() {
-        return seenStamp;
+    public long leaderKeyRevision() {
+        return leaderKeyRevision;
     }
 }
--- a/src/main/java/org/mountlug/core/model/TaskState.java
+++ b/src/main/java/org/mountlug/core/model/AttemptState.java
@@ -1,9 +1,9 @@
 package org.mountlug.core.model;
 
 /** What a worker says of an attempt. */
-public enum TaskState {
+public enum AttemptState {
     FETCHING,
-    WAITING,
+    WAITING_FOR_GANG,
     RUNNING,
     SAVING,
     EXITED
--- a/src/main/java/org/mountlug/core/model/Cause.java
+++ b/src/main/java/org/mountlug/core/model/ExitCause.java
@@ -1,7 +1,7 @@
 package org.mountlug.core.model;
 
 /** Why an attempt ended. */
-public enum Cause {
+public enum ExitCause {
     DONE,
     STOPPED,
     PEERS,
