--- a/src/main/java/org/mountlug/api/HttpApi.java
+++ b/src/main/java/org/mountlug/api/HttpApi.java
@@ -16,34 +16,39 @@
 import org.mountlug.node.Controller;
 import org.mountlug.wire.Cbor;
 
-/** What users, the load balancer and workers reach on {@code listen}: paths, methods and bodies. */
+/**
+ * Routes the HTTP requests that users, the load balancer and workers send to the {@code listen} address, and writes the
+ * responses.
+ */
 public final class HttpApi implements HttpHandler {
     private static final String JOB_PREFIX = "/work/";
-    private static final String ABORT_SUFFIX = "/abort";
+    private static final String CANCEL_SUFFIX = "/abort";
 
-    private final Controller node;
-    private final UserRequestHandler users;
+    private final Controller controller;
+    private final UserRequestHandler userRequests;
 
-    /** Serves users and workers of this controller. */
-    public HttpApi(Controller node, UserRequestHandler users) {
-        this.node = node;
-        this.users = users;
+    /** Creates the handler of all HTTP requests to this controller. */
+    public HttpApi(Controller controller, UserRequestHandler userRequests) {
+        this.controller = controller;
+        this.userRequests = userRequests;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
         switch (path) {
-            case "/up" -> handleIf(Methods.GET, exchange, () -> sendEmpty(exchange, node.isHealthy() ? 200 : 503));
+            case "/up" ->
+                handleIf(Methods.GET, exchange, () -> sendEmpty(exchange, controller.isHealthy() ? 200 : 503));
             case "/metrics" -> handleIf(Methods.GET, exchange, () -> sendMetrics(exchange));
             case "/work" ->
                 handleIf(
                         Methods.POST,
                         exchange,
-                        () -> receive(exchange, body -> users.submit(body, answer -> send(exchange, answer))));
+                        () -> receiveBody(
+                                exchange, body -> userRequests.submit(body, response -> send(exchange, response))));
             case "/agent/beat" ->
-                handleIf(Methods.POST, exchange, () -> receive(exchange, body -> handleReport(exchange, body)));
-            default -> handleJob(exchange, path);
+                handleIf(Methods.POST, exchange, () -> receiveBody(exchange, body -> handleReport(exchange, body)));
+            default -> handleJobRequest(exchange, path);
         }
     }
 
@@ -55,54 +60,56 @@
         }
     }
 
-    private void handleJob(HttpServerExchange exchange, String path) {
-        String job = path.startsWith(JOB_PREFIX) ? path.substring(JOB_PREFIX.length()) : "";
-        if (job.endsWith(ABORT_SUFFIX)) {
-            String jobId = job.substring(0, job.length() - ABORT_SUFFIX.length());
+    private void handleJobRequest(HttpServerExchange exchange, String path) {
+        String jobPath = path.startsWith(JOB_PREFIX) ? path.substring(JOB_PREFIX.length()) : "";
+        if (jobPath.endsWith(CANCEL_SUFFIX)) {
+            String jobId = jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length());
             handleIf(
                     Methods.POST,
                     exchange,
-                    () -> receiveAnyLength(exchange, body -> users.cancel(jobId, answer -> send(exchange, answer))));
-        } else if (path.startsWith(JOB_PREFIX) && job.indexOf('/') < 0) {
+                    () -> receiveBodyOfAnyLength(
+                            exchange, body -> userRequests.cancel(jobId, response -> send(exchange, response))));
+        } else if (path.startsWith(JOB_PREFIX) && jobPath.indexOf('/') < 0) {
             handleIf(
                     Methods.GET,
                     exchange,
                     () -> exchange.dispatch(
-                            SameThreadExecutor.INSTANCE, () -> users.poll(job, answer -> send(exchange, answer))));
+                            SameThreadExecutor.INSTANCE,
+                            () -> userRequests.poll(jobPath, response -> send(exchange, response))));
         } else {
             sendEmpty(exchange, 404);
         }
     }
 
-    /** Reads the body and hands it on; one over the limit is refused unread. */
-    private static void receive(HttpServerExchange exchange, Consumer<byte[]> handler) {
+    /** Reads the body and passes it to the handler; a body whose declared length exceeds the limit is rejected unread. */
+    private static void receiveBody(HttpServerExchange exchange, Consumer<byte[]> handler) {
         if (exchange.getRequestContentLength() > Constants.MAX_BODY_BYTES) {
             exchange.setPersistent(false);
             sendBody(exchange, 400, Map.of("error", "body over 64 KiB"));
             return;
         }
-        receiveAnyLength(exchange, handler);
+        receiveBodyOfAnyLength(exchange, handler);
     }
 
-    private static void receiveAnyLength(HttpServerExchange exchange, Consumer<byte[]> handler) {
+    private static void receiveBodyOfAnyLength(HttpServerExchange exchange, Consumer<byte[]> handler) {
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (received, body) -> received.dispatch(SameThreadExecutor.INSTANCE, () -> handler.accept(body)),
                         (received, error) -> sendEmpty(received, 400));
     }
 
-    private void send(HttpServerExchange exchange, UserResponse answer) {
-        int status = UserResponseCodec.status(answer);
-        if (answer instanceof UserResponse.RateLimited) {
-            node.metrics().countRateLimitedRequest();
+    private void send(HttpServerExchange exchange, UserResponse response) {
+        int status = UserResponseCodec.status(response);
+        if (response instanceof UserResponse.RateLimited) {
+            controller.metrics().countRateLimitedRequest();
         } else if (status == 503) {
-            node.metrics().countUnservedRequest();
+            controller.metrics().countUnservedRequest();
         }
-        int retryAfterS = UserResponseCodec.retryAfterS(answer);
+        int retryAfterS = UserResponseCodec.retryAfterS(response);
         if (retryAfterS > 0) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterS);
         }
-        Map<String, Object> body = UserResponseCodec.body(answer);
+        Map<String, Object> body = UserResponseCodec.body(response);
         if (body.isEmpty()) {
             sendEmpty(exchange, status);
         } else {
@@ -112,7 +119,7 @@
 
     private void sendMetrics(HttpServerExchange exchange) {
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; version=0.0.4");
-        exchange.getResponseSender().send(node.metrics().scrape());
+        exchange.getResponseSender().send(controller.metrics().scrape());
     }
 
     private static void sendEmpty(HttpServerExchange exchange, int status) {
@@ -137,17 +144,17 @@
             sendEmpty(exchange, 400);
             return;
         }
-        Controller.ReportResponse answer = node.handleReport(report);
-        if (answer instanceof Controller.ReportResponse.Commands orders) {
-            sendBody(exchange, 200, WorkerCodec.writeReportResponse(orders.token(), orders.commands()));
-        } else if (answer instanceof Controller.ReportResponse.NotLeader elsewhere) {
-            sendBody(exchange, 421, elsewhere.leader() == null ? Map.of() : Map.of("foreman", elsewhere.leader()));
+        Controller.ReportResponse response = controller.handleReport(report);
+        if (response instanceof Controller.ReportResponse.Commands commands) {
+            sendBody(exchange, 200, WorkerCodec.writeReportResponse(commands.token(), commands.commands()));
+        } else if (response instanceof Controller.ReportResponse.NotLeader notLeader) {
+            sendBody(exchange, 421, notLeader.leader() == null ? Map.of() : Map.of("foreman", notLeader.leader()));
         } else {
             sendEmpty(exchange, 503);
         }
     }
 
-    /** The report, or null if nobody can read it. */
+    /** Returns the decoded report, or null if the body is not a valid report. */
     private static Report readReport(byte[] body) {
         try {
             return WorkerCodec.readReport(Cbor.readMap(body));
--- a/src/main/java/org/mountlug/api/JobLookup.java
+++ b/src/main/java/org/mountlug/api/JobLookup.java
@@ -9,59 +9,65 @@
 import org.mountlug.wire.Fields;
 import org.mountlug.wire.PooledHttpClient;
 
-/** Finds a job in the state service: the live record before the finished one, as records move only that way. */
+/**
+ * Finds a job in the state service. The live record is read before the final one: a job's record only ever moves from live
+ * to final, so reading in this order cannot miss it.
+ */
 final class JobLookup {
-    /** What the state service knows of a job. */
+    /** The outcome of a lookup. */
     sealed interface Result {
-        /** The job is live; {@code revision} is that of its record. */
+        /** The job is live; {@code revision} is the revision of its record. */
         record Live(Map<String, Object> record, long revision) implements Result {}
 
-        /** The job is over, and its final state is cached from now on. */
+        /** The job is finished; its final state has been cached in the controller. */
         record Finished() implements Result {}
 
-        /** The job was never accepted. */
+        /** The job was never accepted: it has neither a live nor a final record. */
         record Unknown() implements Result {}
 
-        /** The state service was of no help. */
+        /** The state service did not answer, or answered with an error. */
         record Unavailable() implements Result {}
     }
 
-    private final Controller node;
+    private final Controller controller;
     private final StateClient state;
 
-    JobLookup(Controller node, StateClient state) {
-        this.node = node;
+    JobLookup(Controller controller, StateClient state) {
+        this.controller = controller;
         this.state = state;
     }
 
-    /** Looks the job up; {@code then} runs once. The first request is the caller's to take from the budget. */
-    void find(String jobId, Consumer<Result> then) {
-        state.get(StateKeys.LIVE_JOBS + jobId, Constants.POLL_TIMEOUT_MS, answer -> {
-            if (answer.status() == 200) {
-                then.accept(new Result.Live(
-                        Fields.asMap(answer.body().get("v")), Fields.getLong(answer.body(), "stamp", 0)));
-            } else if (answer.status() == 404) {
-                findFinished(jobId, then);
+    /**
+     * Looks the job up and calls {@code callback} once. The caller must already have counted the first request against the
+     * rate limit; a second request is counted here.
+     */
+    void find(String jobId, Consumer<Result> callback) {
+        state.get(StateKeys.LIVE_JOBS + jobId, Constants.POLL_TIMEOUT_MS, response -> {
+            if (response.status() == 200) {
+                callback.accept(new Result.Live(
+                        Fields.asMap(response.body().get("v")), Fields.getLong(response.body(), "stamp", 0)));
+            } else if (response.status() == 404) {
+                findFinished(jobId, callback);
             } else {
-                then.accept(new Result.Unavailable());
+                callback.accept(new Result.Unavailable());
             }
         });
     }
 
-    private void findFinished(String jobId, Consumer<Result> then) {
+    private void findFinished(String jobId, Consumer<Result> callback) {
         state.chargeRequest();
         state.get(
                 StateKeys.FINAL_RECORDS + jobId,
                 Constants.POLL_TIMEOUT_MS,
-                answer -> then.accept(finished(jobId, answer)));
+                response -> callback.accept(readFinalRecord(jobId, response)));
     }
 
-    private Result finished(String jobId, PooledHttpClient.Response answer) {
-        if (answer.status() == 200) {
-            Map<String, Object> record = Fields.asMap(answer.body().get("v"));
-            node.cacheFinalState(jobId, Fields.getBoolean(record, "done"), (int) Fields.getLong(record, "n", 0));
+    private Result readFinalRecord(String jobId, PooledHttpClient.Response response) {
+        if (response.status() == 200) {
+            Map<String, Object> record = Fields.asMap(response.body().get("v"));
+            controller.cacheFinalState(jobId, Fields.getBoolean(record, "done"), (int) Fields.getLong(record, "n", 0));
             return new Result.Finished();
         }
-        return answer.status() == 404 ? new Result.Unknown() : new Result.Unavailable();
+        return response.status() == 404 ? new Result.Unknown() : new Result.Unavailable();
     }
 }
--- a/src/main/java/org/mountlug/api/JobParser.java
+++ b/src/main/java/org/mountlug/api/JobParser.java
@@ -13,21 +13,28 @@
 import org.mountlug.core.model.Resources;
 import org.mountlug.core.model.Team;
 
-/** Users' submissions, checked field by field; the only place that knows their field names. */
+/**
+ * Checks users' submissions field by field and converts them to jobs. No other class knows the field names, except that
+ * {@link SubmissionValidator} reads {@code nameId}.
+ */
 public final class JobParser {
-    /** What is wrong with a body. */
+    /** Thrown if a field of a submission is missing, of the wrong type or out of range. */
     public static final class MalformedJobException extends Exception {
         private static final long serialVersionUID = 1;
 
-        /** Names the field or the reason in the message that its user gets. */
-        public MalformedJobException(String m) {
-            super(m);
+        /** Creates the exception; its message, which is sent to the user, is the name of the invalid field. */
+        public MalformedJobException(String fieldName) {
+            super(fieldName);
         }
     }
 
     private JobParser() {}
 
-    /** Ids are "wk-" and digits, six at the least in every example. */
+    /**
+     * Whether a job id is valid: {@code wk-} and 6 to 21 digits. All examples in the protocol have at least six digits.
+     *
+     * @param id may be null, which is not valid
+     */
     public static boolean isValidId(String id) {
         if (id == null || !id.startsWith("wk-") || id.length() < 9 || id.length() > 24) {
             return false;
@@ -40,111 +47,128 @@
         return true;
     }
 
-    /** Reads a submission; throws if a field is missing, of the wrong type or out of range. */
-    public static JobSpec parse(Map<String, Object> m, long nowMs) throws MalformedJobException {
-        String id = text(m, "nameId");
+    /**
+     * Returns the job that a submission describes; unknown fields are ignored.
+     *
+     * @param nowMs epoch milliseconds, recorded as the time of submission
+     * @throws MalformedJobException if a field is missing, of the wrong type or out of range
+     */
+    public static JobSpec parse(Map<String, Object> fields, long nowMs) throws MalformedJobException {
+        String id = requireString(fields, "nameId");
         if (!isValidId(id)) {
             throw new MalformedJobException("nameId");
         }
-        JobType shape =
-                switch (text(m, "shape")) {
+        JobType jobType =
+                switch (requireString(fields, "shape")) {
                     case "array" -> JobType.ARRAY;
                     case "group" -> JobType.GANG;
                     case "daemon" -> JobType.SERVICE;
                     default -> throw new MalformedJobException("shape");
                 };
-        Priority urgency =
-                switch (text(m, "urgency")) {
+        Priority priority =
+                switch (requireString(fields, "urgency")) {
                     case "prod" -> Priority.PROD;
                     case "high" -> Priority.HIGH;
                     case "standard" -> Priority.STANDARD;
                     case "idle" -> Priority.IDLE;
                     default -> throw new MalformedJobException("urgency");
                 };
-        long pieces = whole(m, "pieces");
-        if (pieces < 1 || pieces > Constants.MAX_TASKS_PER_JOB) {
+        long tasks = requireInteger(fields, "pieces");
+        if (tasks < 1 || tasks > Constants.MAX_TASKS_PER_JOB) {
             throw new MalformedJobException("pieces");
         }
-        List<String> builds = null;
-        Object b = m.get("builds");
-        if (b != null) {
-            if (!(b instanceof List<?> l)) {
+        List<String> machineTypes = null;
+        Object buildsValue = fields.get("builds");
+        if (buildsValue != null) {
+            if (!(buildsValue instanceof List<?> buildsList)) {
                 throw new MalformedJobException("builds");
             }
-            builds = new ArrayList<>();
-            for (Object o : l) {
-                if (!(o instanceof String s) || s.isEmpty() || s.length() > Constants.MAX_NAME_CHARS) {
+            machineTypes = new ArrayList<>();
+            for (Object element : buildsList) {
+                if (!(element instanceof String machineType)
+                        || machineType.isEmpty()
+                        || machineType.length() > Constants.MAX_NAME_CHARS) {
                     throw new MalformedJobException("builds");
                 }
-                builds.add(s);
+                machineTypes.add(machineType);
             }
-            if (builds.size() > 40) {
+            if (machineTypes.size() > 40) {
                 throw new MalformedJobException("builds");
             }
         }
-        double cpus = amount(m, "vcpus");
-        double expected = amount(m, "expectedS");
+        double cpus = requireNonNegative(fields, "vcpus");
+        double expectedS = requireNonNegative(fields, "expectedS");
         return new JobSpec(
                 id,
-                text(m, "lane"),
-                text(m, "crew"),
-                shape,
-                urgency,
-                (int) pieces,
-                new Resources(cpus, amount(m, "cards"), amount(m, "ramGb")),
-                builds,
-                m.get("site") == null ? null : text(m, "site"),
-                flag(m, "oneZone"),
-                flag(m, "apart"),
-                flag(m, "loaners"),
-                text(m, "bundle"),
-                amount(m, "imageGb"),
-                expected,
-                amount(m, "bookmarkS"),
-                amount(m, "stashS"),
-                m.get("dueS") == null ? Double.NaN : amount(m, "dueS"),
+                requireString(fields, "lane"),
+                requireString(fields, "crew"),
+                jobType,
+                priority,
+                (int) tasks,
+                new Resources(cpus, requireNonNegative(fields, "cards"), requireNonNegative(fields, "ramGb")),
+                machineTypes,
+                fields.get("site") == null ? null : requireString(fields, "site"),
+                requireBoolean(fields, "oneZone"),
+                requireBoolean(fields, "apart"),
+                requireBoolean(fields, "loaners"),
+                requireString(fields, "bundle"),
+                requireNonNegative(fields, "imageGb"),
+                expectedS,
+                requireNonNegative(fields, "bookmarkS"),
+                requireNonNegative(fields, "stashS"),
+                fields.get("dueS") == null ? Double.NaN : requireNonNegative(fields, "dueS"),
                 nowMs);
     }
 
-    private static String text(Map<String, Object> m, String k) throws MalformedJobException {
-        if (m.get(k) instanceof String s && !s.isEmpty() && s.length() <= Constants.MAX_NAME_CHARS) {
-            return s;
+    private static String requireString(Map<String, Object> fields, String name) throws MalformedJobException {
+        if (fields.get(name) instanceof String value
+                && !value.isEmpty()
+                && value.length() <= Constants.MAX_NAME_CHARS) {
+            return value;
         }
-        throw new MalformedJobException(k);
+        throw new MalformedJobException(name);
     }
 
-    private static boolean flag(Map<String, Object> m, String k) throws MalformedJobException {
-        if (m.get(k) instanceof Boolean b) {
-            return b;
+    private static boolean requireBoolean(Map<String, Object> fields, String name) throws MalformedJobException {
+        if (fields.get(name) instanceof Boolean value) {
+            return value;
         }
-        throw new MalformedJobException(k);
+        throw new MalformedJobException(name);
     }
 
-    private static long whole(Map<String, Object> m, String k) throws MalformedJobException {
-        if (m.get(k) instanceof Long n) {
-            return n;
+    private static long requireInteger(Map<String, Object> fields, String name) throws MalformedJobException {
+        if (fields.get(name) instanceof Long value) {
+            return value;
         }
-        throw new MalformedJobException(k);
+        throw new MalformedJobException(name);
     }
 
-    private static double amount(Map<String, Object> m, String k) throws MalformedJobException {
-        if (m.get(k) instanceof Number n && Double.isFinite(n.doubleValue()) && n.doubleValue() >= 0) {
-            return n.doubleValue();
+    private static double requireNonNegative(Map<String, Object> fields, String name) throws MalformedJobException {
+        if (fields.get(name) instanceof Number value
+                && Double.isFinite(value.doubleValue())
+                && value.doubleValue() >= 0) {
+            return value.doubleValue();
         }
-        throw new MalformedJobException(k);
+        throw new MalformedJobException(name);
     }
 
-    /** Why the job can never run, or null. */
-    public static String unschedulableReason(JobSpec s, Function<String, Team> teams, Collection<MachineType> types) {
-        Team t = teams.apply(s.team());
-        if (t == null) {
+    /**
+     * Returns the reason why the job can never run, or null if it can.
+     *
+     * @param teams returns the team of a name, or null if there is none
+     * @param types all machine types that the cloud offers
+     */
+    public static String unschedulableReason(
+            JobSpec spec, Function<String, Team> teams, Collection<MachineType> types) {
+        Team team = teams.apply(spec.team());
+        if (team == null) {
             return "unknown team";
         }
-        if (types.stream().noneMatch(s::canEverRunOn)) {
+        if (types.stream().noneMatch(spec::canEverRunOn)) {
             return "a task fits no allowed machine type";
         }
         // The replicas of a service run at the same time, as a gang's tasks do.
-        if (!t.isWithinLimit(s.jobType() == JobType.ARRAY ? s.request() : s.totalRequest())) {
+        if (!team.isWithinLimit(spec.jobType() == JobType.ARRAY ? spec.request() : spec.totalRequest())) {
             return "needs more than the team's limit";
         }
         return null;
--- a/src/main/java/org/mountlug/api/JobStatus.java
+++ b/src/main/java/org/mountlug/api/JobStatus.java
@@ -1,17 +1,17 @@
 package org.mountlug.api;
 
-/** The states of a job that users tell apart. */
+/** The state of a job as it is reported to users. */
 public enum JobStatus {
-    /** No task runs. */
+    /** The job is neither done nor cancelled, and none of its tasks runs. */
     PENDING,
-    /** Some tasks run. */
+    /** At least one task runs. */
     RUNNING,
     /** All tasks are done. */
     DONE,
     /** Cancelled by its user. */
     CANCELLED;
 
-    /** The state of a job that is over. */
+    /** Returns the state of a finished job. */
     static JobStatus ofFinished(boolean done) {
         return done ? DONE : CANCELLED;
     }
--- a/src/main/java/org/mountlug/api/SubmissionValidator.java
+++ b/src/main/java/org/mountlug/api/SubmissionValidator.java
@@ -12,35 +12,35 @@
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Fields;
 
-/** Judges whether a submission can be read and its job can run, before anything else is decided of it. */
+/** Checks that a submission is well-formed and that its job can run and be stored, before admission is decided. */
 final class SubmissionValidator {
-    /** A submission that cannot be taken in, with the answer that its user gets. */
+    /** Thrown if a submission is rejected; holds the response to its user. */
     static final class RejectedSubmissionException extends Exception {
         private static final long serialVersionUID = 1;
 
-        private final transient UserResponse answer;
+        private final transient UserResponse response;
 
-        RejectedSubmissionException(UserResponse answer) {
-            super(String.valueOf(answer));
-            this.answer = answer;
+        RejectedSubmissionException(UserResponse response) {
+            super(String.valueOf(response));
+            this.response = response;
         }
 
-        UserResponse answer() {
-            return answer;
+        UserResponse response() {
+            return response;
         }
     }
 
     private final Map<String, Team> teams = new HashMap<>();
-    private final int recordBytes;
+    private final int maxRecordChars;
 
     SubmissionValidator(Settings settings) {
         for (Team team : settings.teams()) {
             teams.put(team.name(), team);
         }
-        recordBytes = (int) (settings.strictestValueLimitKb() * 1024 * Constants.VALUE_FILL_SHARE);
+        maxRecordChars = (int) (settings.strictestValueLimitKb() * 1024 * Constants.VALUE_FILL_SHARE);
     }
 
-    /** Reads the fields of a body, of which only the id has been checked. */
+    /** Returns the fields of a body; of these, only the id has been checked. */
     static Map<String, Object> parseFields(byte[] body) throws RejectedSubmissionException {
         if (body.length > Constants.MAX_BODY_BYTES) {
             throw malformed("body over 64 KiB");
@@ -57,8 +57,14 @@
         return fields;
     }
 
-    /** The job as it will be recorded; {@code types} are the machine types by name, empty while they are not known. */
-    JobSpec toJobSpec(Map<String, Object> fields, Map<String, MachineType> types, long nowMs)
+    /**
+     * Returns the job as it will be recorded. A description that is too long for a record loses the allowed machine types
+     * that do not exist.
+     *
+     * @param machineTypes all machine types by name; empty if they have not been read yet
+     * @param nowMs epoch milliseconds, recorded as the time of submission
+     */
+    JobSpec toJobSpec(Map<String, Object> fields, Map<String, MachineType> machineTypes, long nowMs)
             throws RejectedSubmissionException {
         JobSpec spec;
         try {
@@ -66,18 +72,19 @@
         } catch (JobParser.MalformedJobException e) {
             throw malformed(e.getMessage());
         }
-        if (types.isEmpty()) {
+        if (machineTypes.isEmpty()) {
             throw new RejectedSubmissionException(UserResponse.unavailable());
         }
-        String hopeless = JobParser.unschedulableReason(spec, teams::get, types.values());
-        if (hopeless != null) {
-            throw new RejectedSubmissionException(new UserResponse.Unschedulable(hopeless));
+        String unschedulableReason = JobParser.unschedulableReason(spec, teams::get, machineTypes.values());
+        if (unschedulableReason != null) {
+            throw new RejectedSubmissionException(new UserResponse.Unschedulable(unschedulableReason));
         }
-        JobSpec shortened = JobRecordCodec.fits(spec, recordBytes) ? spec : spec.withKnownMachineTypes(types.keySet());
-        if (!JobRecordCodec.fits(shortened, recordBytes)) {
+        JobSpec storableSpec =
+                JobRecordCodec.fits(spec, maxRecordChars) ? spec : spec.withKnownMachineTypes(machineTypes.keySet());
+        if (!JobRecordCodec.fits(storableSpec, maxRecordChars)) {
             throw malformed("description too long for the state service's limit");
         }
-        return shortened;
+        return storableSpec;
     }
 
     private static RejectedSubmissionException malformed(String problem) {
--- a/src/main/java/org/mountlug/api/UserRequestHandler.java
+++ b/src/main/java/org/mountlug/api/UserRequestHandler.java
@@ -16,79 +16,86 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What users ask: submissions, polls and aborts, on any node, each decided by the job's record. */
+/**
+ * Handles users' submissions, polls and cancellations. Any controller can handle them, because each is decided by the job's
+ * record in the state service.
+ */
 public final class UserRequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
 
-    /** How an answer leaves. */
+    /** Sends the response to one request. */
     public interface Reply {
-        /** Answers the request; called once. */
-        void send(UserResponse answer);
+        /** Sends the response; called once for each request. */
+        void send(UserResponse response);
     }
 
-    private final Controller node;
+    private final Controller controller;
     private final StateClient state;
     private final LongSupplier epochMs;
-    private final JobLookup jobs;
-    private final SubmissionValidator check;
+    private final JobLookup jobLookup;
+    private final SubmissionValidator validator;
 
-    /** Decides the requests of users that reach this controller. */
-    public UserRequestHandler(Controller node, StateClient state, Settings settings, LongSupplier epochMs) {
-        this.node = node;
+    /** Creates the handler of the users' requests that reach this controller. */
+    public UserRequestHandler(Controller controller, StateClient state, Settings settings, LongSupplier epochMs) {
+        this.controller = controller;
         this.state = state;
         this.epochMs = epochMs;
-        this.jobs = new JobLookup(node, state);
-        this.check = new SubmissionValidator(settings);
+        this.jobLookup = new JobLookup(controller, state);
+        this.validator = new SubmissionValidator(settings);
     }
 
     // ---- polls --------------------------------------------------------------------------------------------------
 
-    /** Answers a question about the state of a job. */
+    /** Responds with the state of a job. */
     public void poll(String jobId, Reply reply) {
-        if (refusedAfterStandstill(reply)) {
+        if (refuseIfShedding(reply)) {
             return;
         }
         if (!JobParser.isValidId(jobId)) {
             reply.send(new UserResponse.UnknownJob());
             return;
         }
-        if (answeredFromCache(jobId, reply)) {
+        if (respondFromCache(jobId, reply)) {
             return;
         }
         if (!state.tryAcquireRead()) {
             reply.send(UserResponse.rateLimited());
             return;
         }
-        answerKnown(jobId, reply, new UserResponse.UnknownJob());
+        respondFromRecord(jobId, reply, new UserResponse.UnknownJob());
     }
 
-    /** Refuses at once what may have waited in its socket until nobody waits for the answer. */
-    private boolean refusedAfterStandstill(Reply reply) {
-        boolean refused = node.isSheddingRequests();
-        if (refused) {
+    /**
+     * Refuses a request just after a long process pause, as it may have waited in its socket until its user gave up; returns whether
+     * it did.
+     */
+    private boolean refuseIfShedding(Reply reply) {
+        boolean shedding = controller.isSheddingRequests();
+        if (shedding) {
             reply.send(UserResponse.unavailable());
         }
-        return refused;
+        return shedding;
     }
 
-    private boolean answeredFromCache(String jobId, Reply reply) {
-        Boolean done = node.cachedFinalState(jobId);
+    /** Responds with the final state of a job if that is cached; returns whether it did. */
+    private boolean respondFromCache(String jobId, Reply reply) {
+        Boolean done = controller.cachedFinalState(jobId);
         if (done == null) {
             return false;
         }
-        int tasks = done ? node.cachedTaskCount(jobId) : 0;
+        int tasks = done ? controller.cachedTaskCount(jobId) : 0;
         reply.send(new UserResponse.JobState(jobId, JobStatus.ofFinished(done), tasks, 0));
         return true;
     }
 
-    /** Answers with the job's current state, or as given if no such job was ever accepted. */
-    private void answerKnown(String jobId, Reply reply, UserResponse ifUnknown) {
-        jobs.find(jobId, found -> {
-            if (found instanceof JobLookup.Result.Live live) {
-                answerLive(jobId, live.record(), reply);
-            } else if (found instanceof JobLookup.Result.Finished) {
-                answeredFromCache(jobId, reply);
-            } else if (found instanceof JobLookup.Result.Unknown) {
+    /** Responds with the state in the job's record, or with {@code ifUnknown} if no such job was ever accepted. */
+    private void respondFromRecord(String jobId, Reply reply, UserResponse ifUnknown) {
+        jobLookup.find(jobId, result -> {
+            if (result instanceof JobLookup.Result.Live live) {
+                respondLive(jobId, live.record(), reply);
+            } else if (result instanceof JobLookup.Result.Finished) {
+                respondFromCache(jobId, reply);
+            } else if (result instanceof JobLookup.Result.Unknown) {
                 reply.send(ifUnknown);
             } else {
                 reply.send(UserResponse.unavailable());
@@ -96,9 +103,9 @@
         });
     }
 
-    private void answerLive(String jobId, Map<String, Object> record, Reply reply) {
+    private void respondLive(String jobId, Map<String, Object> record, Reply reply) {
         if (JobRecordCodec.isCancelled(record)) {
-            answerCancelled(jobId, reply);
+            respondCancelled(jobId, reply);
             return;
         }
         JobRecordCodec.TaskCounts counts = JobRecordCodec.taskCounts(record);
@@ -107,92 +114,97 @@
     }
 
     /**
-     * The only way on which a user hears that a job is cancelled whose record is still live, be it from the abort itself,
-     * from a poll or from a repeated submission, at whichever node. The abort's own answer may have been lost, so any of
-     * them may be the first to tell, and from then on {@code cancel_s} counts: first the leader must be able to know.
+     * Responds that a job is cancelled whose record is still live. Every such response, to a cancellation, a poll or a repeated
+     * submission at any controller, goes through here. The response to the cancellation itself may have been lost, so any
+     * of these may be the first that a user receives, and {@code cancel_s} counts from that first one. The cancellation is
+     * therefore recorded for the leader before the response is sent.
      */
-    private void answerCancelled(String jobId, Reply reply) {
-        node.recordCancellation(jobId);
+    private void respondCancelled(String jobId, Reply reply) {
+        controller.recordCancellation(jobId);
         reply.send(new UserResponse.JobState(jobId, JobStatus.CANCELLED, 0, 0));
     }
 
     // ---- submissions --------------------------------------------------------------------------------------------
 
-    /** Takes a job in, or says why not. */
+    /** Accepts a job, or responds with the reason why it is not accepted. */
     public void submit(byte[] body, Reply reply) {
-        node.metrics().countSubmission();
-        if (refusedAfterStandstill(reply)) {
+        controller.metrics().countSubmission();
+        if (refuseIfShedding(reply)) {
             return;
         }
         Map<String, Object> fields;
         try {
             fields = SubmissionValidator.parseFields(body);
         } catch (SubmissionValidator.RejectedSubmissionException e) {
-            reply.send(e.answer());
+            reply.send(e.response());
             return;
         }
         String jobId = Fields.getString(fields, "nameId");
-        if (answeredFromCache(jobId, reply)) {
+        if (respondFromCache(jobId, reply)) {
             return;
         }
         JobSpec spec;
         try {
-            spec = check.toJobSpec(fields, node.machineTypes(), epochMs.getAsLong());
+            spec = validator.toJobSpec(fields, controller.machineTypes(), epochMs.getAsLong());
         } catch (SubmissionValidator.RejectedSubmissionException e) {
-            LOG.debug("rejected {}: {}", jobId, e.getMessage());
-            answerRejected(jobId, e.answer(), reply);
+            LOG.debug("rejected the submission of job {}: {}", jobId, e.getMessage());
+            respondRejected(jobId, e.response(), reply);
             return;
         }
         admit(spec, reply);
     }
 
-    /** An accepted job stays accepted, whatever a repeated body looks like; only the look-up is taken from a budget. */
-    private void answerRejected(String jobId, UserResponse answer, Reply reply) {
+    /**
+     * Responds to a rejected submission: with the job's state if a job with this id was accepted earlier, as an accepted job
+     * stays accepted whatever a repeated submission contains, and otherwise with the rejection. The lookup counts against
+     * the rate limit of submissions.
+     */
+    private void respondRejected(String jobId, UserResponse rejection, Reply reply) {
         if (state.tryAcquireSubmission()) {
-            answerKnown(jobId, reply, answer);
+            respondFromRecord(jobId, reply, rejection);
         } else {
             reply.send(UserResponse.rateLimited());
         }
     }
 
     private void admit(JobSpec spec, Reply reply) {
-        AdmissionDecision decision = node.admission().decide(spec);
+        AdmissionDecision decision = controller.admission().decide(spec);
         if (decision instanceof AdmissionDecision.Admit) {
-            create(spec, reply);
+            createRecord(spec, reply);
         } else if (decision instanceof AdmissionDecision.Defer defer) {
-            node.metrics().countDeferredSubmission(spec.team());
+            controller.metrics().countDeferredSubmission(spec.team());
             reply.send(new UserResponse.Deferred(defer.retryAfterS(), defer.turnIsFinal()));
-        } else if (decision instanceof AdmissionDecision.RetryLater undecided) {
-            reply.send(new UserResponse.Unavailable(undecided.retryAfterS()));
+        } else if (decision instanceof AdmissionDecision.RetryLater retryLater) {
+            reply.send(new UserResponse.Unavailable(retryLater.retryAfterS()));
         } else {
             reply.send(UserResponse.rateLimited());
         }
     }
 
-    /** Writes the job's record unless there is one; whoever comes second answers with what the first one wrote. */
-    private void create(JobSpec spec, Reply reply) {
+    /** Writes the job's record unless one exists; if one does, responds with the state in that record. */
+    private void createRecord(JobSpec spec, Reply reply) {
         String jobId = spec.id();
-        Transaction change = new Transaction()
+        Transaction transaction = new Transaction()
                 .requireRevision(StateKeys.LIVE_JOBS + jobId, 0)
                 .requireRevision(StateKeys.FINAL_RECORDS + jobId, 0)
                 .put(StateKeys.LIVE_JOBS + jobId, JobRecordCodec.newRecord(spec));
-        state.commit(change, answer -> {
-            if (answer.status() == 200) {
+        state.commit(transaction, response -> {
+            if (response.status() == 200) {
                 reply.send(new UserResponse.Accepted(jobId));
-            } else if (answer.status() == 409) {
+            } else if (response.status() == 409) {
                 state.chargeRequest();
-                answerKnown(jobId, reply, UserResponse.unavailable());
+                respondFromRecord(jobId, reply, UserResponse.unavailable());
             } else {
-                reply.send(UserResponse.forStateError(answer.status()));
+                reply.send(UserResponse.forStateError(response.status()));
             }
         });
     }
 
     // ---- cancellations ------------------------------------------------------------------------------------------
 
-    /** Cancels a job, or answers that it is done already. */
+    /** Cancels a job, or responds with its final state if it is finished already. */
     public void cancel(String jobId, Reply reply) {
-        if (refusedAfterStandstill(reply)) {
+        if (refuseIfShedding(reply)) {
             return;
         }
         if (!JobParser.isValidId(jobId)) {
@@ -203,23 +215,23 @@
     }
 
     private void cancel(String jobId, Reply reply, int triesLeft) {
-        if (answeredFromCache(jobId, reply)) {
+        if (respondFromCache(jobId, reply)) {
             return;
         }
         if (triesLeft == 0) {
             reply.send(UserResponse.unavailable());
             return;
         }
-        if (!node.admission().tryAcquireCancellation()) {
+        if (!controller.admission().tryAcquireCancellation()) {
             reply.send(UserResponse.rateLimited());
             return;
         }
-        jobs.find(jobId, found -> {
-            if (found instanceof JobLookup.Result.Live live) {
-                abortLive(jobId, live, reply, triesLeft);
-            } else if (found instanceof JobLookup.Result.Finished) {
-                answeredFromCache(jobId, reply);
-            } else if (found instanceof JobLookup.Result.Unknown) {
+        jobLookup.find(jobId, result -> {
+            if (result instanceof JobLookup.Result.Live live) {
+                cancelLive(jobId, live, reply, triesLeft);
+            } else if (result instanceof JobLookup.Result.Finished) {
+                respondFromCache(jobId, reply);
+            } else if (result instanceof JobLookup.Result.Unknown) {
                 reply.send(new UserResponse.UnknownJob());
             } else {
                 reply.send(UserResponse.unavailable());
@@ -227,27 +239,28 @@
         });
     }
 
-    private void abortLive(String jobId, JobLookup.Result.Live live, Reply reply, int triesLeft) {
+    private void cancelLive(String jobId, JobLookup.Result.Live live, Reply reply, int triesLeft) {
         if (JobRecordCodec.isCancelled(live.record())) {
-            answerCancelled(jobId, reply);
+            respondCancelled(jobId, reply);
             return;
         }
-        Map<String, Object> cancelled = JobRecordCodec.withCancellation(live.record());
+        Map<String, Object> cancelledRecord = JobRecordCodec.withCancellation(live.record());
         state.chargeRequest();
-        Transaction change = new Transaction()
+        Transaction transaction = new Transaction()
                 .requireRevision(StateKeys.LIVE_JOBS + jobId, live.revision())
-                .put(StateKeys.LIVE_JOBS + jobId, cancelled);
-        state.commit(change, answer -> abortWritten(jobId, answer, reply, triesLeft));
+                .put(StateKeys.LIVE_JOBS + jobId, cancelledRecord);
+        state.commit(transaction, response -> onCancellationWritten(jobId, response, reply, triesLeft));
     }
 
-    private void abortWritten(String jobId, PooledHttpClient.Response answer, Reply reply, int triesLeft) {
-        if (answer.status() == 200) {
-            answerCancelled(jobId, reply);
-        } else if (answer.status() == 409) {
+    private void onCancellationWritten(String jobId, PooledHttpClient.Response response, Reply reply, int triesLeft) {
+        if (response.status() == 200) {
+            respondCancelled(jobId, reply);
+        } else if (response.status() == 409) {
             cancel(jobId, reply, triesLeft - 1);
         } else {
-            // 400: too large to be written back since the limits were lowered; the leader rewrites such records first.
-            reply.send(UserResponse.forStateError(answer.status()));
+            // 400: the record has been too large to write since the value limit was lowered; the cancellation can be
+            // repeated once the leader has rewritten the record.
+            reply.send(UserResponse.forStateError(response.status()));
         }
     }
 }
--- a/src/main/java/org/mountlug/api/UserResponse.java
+++ b/src/main/java/org/mountlug/api/UserResponse.java
@@ -2,46 +2,51 @@
 
 import org.mountlug.Constants;
 
-/** What a user is answered; {@link UserResponseCodec} alone knows status codes and field names. */
+/** The response to a user's request; {@link UserResponseCodec} converts it to a status code and a body. */
 public sealed interface UserResponse {
-    /** The submission was taken in just now: its record is durable. */
+    /** The submission was accepted by this request: the job's record is durable. */
     record Accepted(String jobId) implements UserResponse {}
 
-    /** How a known job stands; the counts of tasks are for display. */
+    /** The state of an accepted job; the numbers of done and running tasks are for display only. */
     record JobState(String jobId, JobStatus status, int doneTasks, int runningTasks) implements UserResponse {}
 
     /** No such job was ever accepted. */
     record UnknownJob() implements UserResponse {}
 
-    /** The request cannot be read, or a field is missing or invalid; {@code problem} names it. */
+    /** The body cannot be read, or a field is missing or invalid; {@code problem} names the fault or the field. */
     record Malformed(String problem) implements UserResponse {}
 
     /** The job can never run; {@code reason} says why. */
     record Unschedulable(String reason) implements UserResponse {}
 
     /**
-     * Other submissions go first; come back in so many seconds, {@code turnIsFinal} if the submission will be admitted
-     * then, and otherwise to be told its turn.
+     * The submission is deferred until its turn.
+     *
+     * @param retryAfterS seconds after which the user should repeat it
+     * @param turnIsFinal whether the submission will be admitted then; otherwise the user will receive another time
      */
     record Deferred(int retryAfterS, boolean turnIsFinal) implements UserResponse {}
 
-    /** This controller is asked for more than its part of the request budget, come back in so many seconds. */
+    /**
+     * The request exceeds this controller's part of the rate limit, or the state service refused it as one too many; it may be
+     * repeated after {@code retryAfterS} seconds.
+     */
     record RateLimited(int retryAfterS) implements UserResponse {}
 
-    /** Nothing can be decided here and now, come back in so many seconds. */
+    /** This controller cannot decide the request at the moment; it may be repeated after {@code retryAfterS} seconds. */
     record Unavailable(int retryAfterS) implements UserResponse {}
 
-    /** Refuses a request beyond the request budget. */
+    /** Returns the response to a request that exceeds a rate limit. */
     static UserResponse rateLimited() {
         return new RateLimited(Constants.RETRY_AFTER_S);
     }
 
-    /** Refuses a request that nothing can be said of at the moment. */
+    /** Returns the response to a request that cannot be decided at the moment. */
     static UserResponse unavailable() {
         return new Unavailable(Constants.RETRY_AFTER_S);
     }
 
-    /** Refuses a request whose state service call failed with this status. */
+    /** Returns the response to a request whose call to the state service failed with this status. */
     static UserResponse forStateError(int status) {
         return status == 429 ? rateLimited() : unavailable();
     }
--- a/src/main/java/org/mountlug/api/UserResponseCodec.java
+++ b/src/main/java/org/mountlug/api/UserResponseCodec.java
@@ -3,63 +3,63 @@
 import java.util.Map;
 import org.mountlug.wire.Fields;
 
-/** Answers to users as status codes and bodies; the only place that knows their words. */
+/** Converts responses to users to status codes and bodies; only this class knows their field names and values. */
 public final class UserResponseCodec {
     private UserResponseCodec() {}
 
-    /** The status code of an answer. */
-    public static int status(UserResponse answer) {
-        if (answer instanceof UserResponse.Accepted) {
+    /** Returns the HTTP status code of a response. */
+    public static int status(UserResponse response) {
+        if (response instanceof UserResponse.Accepted) {
             return 201;
         }
-        if (answer instanceof UserResponse.JobState) {
+        if (response instanceof UserResponse.JobState) {
             return 200;
         }
-        if (answer instanceof UserResponse.UnknownJob) {
+        if (response instanceof UserResponse.UnknownJob) {
             return 404;
         }
-        if (answer instanceof UserResponse.Malformed) {
+        if (response instanceof UserResponse.Malformed) {
             return 400;
         }
-        if (answer instanceof UserResponse.Unschedulable) {
+        if (response instanceof UserResponse.Unschedulable) {
             return 422;
         }
-        return answer instanceof UserResponse.Deferred || answer instanceof UserResponse.RateLimited ? 429 : 503;
+        return response instanceof UserResponse.Deferred || response instanceof UserResponse.RateLimited ? 429 : 503;
     }
 
-    /** The body of an answer; empty if it has none. */
-    public static Map<String, Object> body(UserResponse answer) {
-        if (answer instanceof UserResponse.Accepted accepted) {
-            return Fields.orderedMap("nameId", accepted.jobId(), "status", word(JobStatus.PENDING));
+    /** Returns the fields of a response's body; empty if it has no body. */
+    public static Map<String, Object> body(UserResponse response) {
+        if (response instanceof UserResponse.Accepted accepted) {
+            return Fields.orderedMap("nameId", accepted.jobId(), "status", statusValue(JobStatus.PENDING));
         }
-        if (answer instanceof UserResponse.JobState state) {
+        if (response instanceof UserResponse.JobState jobState) {
             return Fields.orderedMap(
-                    "nameId", state.jobId(),
-                    "status", word(state.status()),
-                    "done", state.doneTasks(),
-                    "running", state.runningTasks());
+                    "nameId", jobState.jobId(),
+                    "status", statusValue(jobState.status()),
+                    "done", jobState.doneTasks(),
+                    "running", jobState.runningTasks());
         }
-        if (answer instanceof UserResponse.Malformed malformed) {
+        if (response instanceof UserResponse.Malformed malformed) {
             return Map.of("error", malformed.problem());
         }
-        if (answer instanceof UserResponse.Unschedulable unschedulable) {
+        if (response instanceof UserResponse.Unschedulable unschedulable) {
             return Map.of("error", unschedulable.reason());
         }
         return Map.of();
     }
 
-    /** Seconds after which the request may be repeated; 0 if the answer is final. */
-    public static int retryAfterS(UserResponse answer) {
-        if (answer instanceof UserResponse.Deferred deferred) {
+    /** Returns the seconds after which the request may be repeated; 0 if the response is final. */
+    public static int retryAfterS(UserResponse response) {
+        if (response instanceof UserResponse.Deferred deferred) {
             return deferred.retryAfterS();
         }
-        if (answer instanceof UserResponse.RateLimited overBudget) {
-            return overBudget.retryAfterS();
+        if (response instanceof UserResponse.RateLimited rateLimited) {
+            return rateLimited.retryAfterS();
         }
-        return answer instanceof UserResponse.Unavailable unavailable ? unavailable.retryAfterS() : 0;
+        return response instanceof UserResponse.Unavailable unavailable ? unavailable.retryAfterS() : 0;
     }
 
-    private static String word(JobStatus status) {
+    private static String statusValue(JobStatus status) {
         return switch (status) {
             case PENDING -> "pending";
             case RUNNING -> "running";
--- a/src/main/java/org/mountlug/api/package-info.java
+++ b/src/main/java/org/mountlug/api/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP interface of a controller: users, the load balancer, workers and meters. */
+/** The HTTP interface of a controller for users, the load balancer, workers and the collection of metrics. */
 package org.mountlug.api;
