--- a/src/main/java/org/mountlug/cli/CdsTrainingRun.java
+++ b/src/main/java/org/mountlug/cli/CdsTrainingRun.java
@@ -12,13 +12,14 @@
 import org.mountlug.settings.Settings;
 
 /**
- * A controller's start and its first second, run once by the build so that the classes it needs land in the class-data
- * archive. Starting from the archive saves most of the time for which a crashed controller is missed.
+ * Starts a controller and takes it through its ordinary work against fake services. The build runs this once so that the
+ * classes that a controller needs are recorded in the class-data sharing (CDS) archive. Starting from the archive saves
+ * most of the time for which a crashed controller is down.
  */
 final class CdsTrainingRun {
     private CdsTrainingRun() {}
 
-    private static final String SETTINGS = """
+    private static final String PLATFORM_SETTINGS = """
             label = "a"
             zone = "z"
             listen = "127.0.0.1:%d"
@@ -53,7 +54,7 @@
             rps = 4.0
             list_lag_s = 10.0
             """;
-    private static final String OPERATORS = """
+    private static final String OPERATOR_SETTINGS = """
             shares: {t: 1}
             log: {format: plain}
             machines: {idle_keep_s: 20}
@@ -62,52 +63,53 @@
               displacement: []
               ramp: {start_share: 0.1}
             """;
-    private static final int PORTS = 6;
+    private static final int PORT_COUNT = 6;
 
     static int run() {
         try {
             Path directory = Files.createTempDirectory("mountlug");
-            Path platform = directory.resolve("settings.toml");
-            Path own = directory.resolve("operators.yaml");
+            Path platformFile = directory.resolve("settings.toml");
+            Path operatorsFile = directory.resolve("operators.yaml");
             try {
-                rehearse(platform, own);
+                startAndExercise(platformFile, operatorsFile);
                 return 0;
             } finally {
-                Files.deleteIfExists(platform);
-                Files.deleteIfExists(own);
+                Files.deleteIfExists(platformFile);
+                Files.deleteIfExists(operatorsFile);
                 Files.deleteIfExists(directory);
             }
         } catch (IOException | InterruptedException | Settings.InvalidSettingException e) {
-            System.err.println("rehearsal failed: " + e);
+            System.err.println("CDS training run failed: " + e);
             return 1;
         }
     }
 
-    private static void rehearse(Path platform, Path own)
+    private static void startAndExercise(Path platformFile, Path operatorsFile)
             throws IOException, InterruptedException, Settings.InvalidSettingException {
-        int[] ports = freePorts();
-        Files.writeString(platform, SETTINGS.formatted(ports[0], ports[1], ports[4], ports[5], ports[2], ports[3]));
-        Files.writeString(own, OPERATORS);
-        OperatorSettings operators = OperatorSettings.load(own);
-        Settings settings = Settings.load(platform, operators);
-        // One peer answers, the other refuses connections, as after a crash.
-        try (FakeServices standIns = new FakeServices(ports[3], ports[2], ports[4])) {
-            standIns.announceVersions("b", "c");
-            List<String> sizes =
+        int[] ports = findFreePorts();
+        Files.writeString(
+                platformFile, PLATFORM_SETTINGS.formatted(ports[0], ports[1], ports[4], ports[5], ports[2], ports[3]));
+        Files.writeString(operatorsFile, OPERATOR_SETTINGS);
+        OperatorSettings operators = OperatorSettings.load(operatorsFile);
+        Settings settings = Settings.load(platformFile, operators);
+        // Peer "b" answers; peer "c" refuses connections, as after a crash.
+        try (FakeServices fakes = new FakeServices(ports[3], ports[2], ports[4])) {
+            fakes.announceVersions("b", "c");
+            List<String> sizing =
                     ControllerSizing.check(settings, Runtime.getRuntime().maxMemory() / 1048576.0);
-            ControllerServer controller = new ControllerServer(settings, operators, sizes);
+            ControllerServer controller = new ControllerServer(settings, operators, sizing);
             controller.start();
-            standIns.exercise(ports[0]);
+            fakes.exercise(ports[0]);
             controller.stop();
         }
     }
 
-    /** Ports that are free, all held at the same time so that none is given twice. */
-    private static int[] freePorts() throws IOException {
+    /** Returns free ports. All sockets stay open until the last one is bound, so that no port is returned twice. */
+    private static int[] findFreePorts() throws IOException {
         List<ServerSocket> sockets = new ArrayList<>();
         try {
-            int[] ports = new int[PORTS];
-            for (int i = 0; i < PORTS; i++) {
+            int[] ports = new int[PORT_COUNT];
+            for (int i = 0; i < PORT_COUNT; i++) {
                 ServerSocket socket = new ServerSocket(0);
                 sockets.add(socket);
                 ports[i] = socket.getLocalPort();
--- a/src/main/java/org/mountlug/cli/FakeServices.java
+++ b/src/main/java/org/mountlug/cli/FakeServices.java
@@ -20,29 +20,32 @@
 import org.mountlug.wire.Cbor;
 import org.mountlug.wire.Fields;
 
-/** The least of a state service, a cloud and a peer that a rehearsal needs, kept in memory on loopback. */
+/**
+ * In-memory fakes of the state service, the cloud and a peer on the loopback interface, with only what the CDS training run
+ * needs of them; also the calls that users and a worker make in that run.
+ */
 final class FakeServices implements AutoCloseable {
-    private record Row(Object value, long stamp) {}
+    private record Row(Object value, long revision) {}
 
-    private final HttpServer state;
-    private final HttpServer cloud;
+    private final HttpServer stateServer;
+    private final HttpServer cloudServer;
     private final FakePeer peer;
-    private final ExecutorService threads = Executors.newCachedThreadPool();
+    private final ExecutorService executor = Executors.newCachedThreadPool();
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private long epoch = 1;
 
     FakeServices(int statePort, int cloudPort, int peerPort) throws IOException {
         peer = new FakePeer(peerPort);
-        state = serve(statePort);
-        cloud = serve(cloudPort);
-        state.createContext("/kv", this::read);
-        state.createContext("/multi", this::multi);
-        state.createContext("/holds", x -> reply(x, 200, Map.of("hold", 7)));
-        state.createContext("/watch", this::watch);
-        cloud.createContext(
+        stateServer = createServer(statePort);
+        cloudServer = createServer(cloudPort);
+        stateServer.createContext("/kv", this::handleRead);
+        stateServer.createContext("/multi", this::handleTransaction);
+        stateServer.createContext("/holds", exchange -> respond(exchange, 200, Map.of("hold", 7)));
+        stateServer.createContext("/watch", this::handleWatch);
+        cloudServer.createContext(
                 "/flavors",
-                x -> reply(
-                        x,
+                exchange -> respond(
+                        exchange,
                         200,
                         Map.of(
                                 "builds",
@@ -59,100 +62,106 @@
                                         10.0,
                                         "sites",
                                         List.of("z"))))));
-        cloud.createContext("/hosts", x -> reply(x, 200, Map.of("rigs", List.of(), "hasNext", false)));
-        state.start();
-        cloud.start();
+        cloudServer.createContext(
+                "/hosts", exchange -> respond(exchange, 200, Map.of("rigs", List.of(), "hasNext", false)));
+        stateServer.start();
+        cloudServer.start();
     }
 
-    /** Holds that these controllers read the layout of records that this version writes. */
+    /** Stores, for each of these controllers, the announcement that it reads the record layout of this version. */
     synchronized void announceVersions(String... labels) {
         for (String label : labels) {
             rows.put(StateKeys.VERSIONS + label, new Row(VersionCodec.announcement(), ++epoch));
         }
     }
 
-    private HttpServer serve(int port) throws IOException {
-        HttpServer s = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 16);
-        s.setExecutor(threads);
-        return s;
+    private HttpServer createServer(int port) throws IOException {
+        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 16);
+        server.setExecutor(executor);
+        return server;
     }
 
-    private static void reply(HttpExchange x, int status, Object body) throws IOException {
-        x.getRequestBody().readAllBytes();
-        byte[] b = Cbor.write(body);
-        x.sendResponseHeaders(status, b.length);
-        try (OutputStream o = x.getResponseBody()) {
-            o.write(b);
+    private static void respond(HttpExchange exchange, int status, Object body) throws IOException {
+        exchange.getRequestBody().readAllBytes();
+        byte[] bytes = Cbor.write(body);
+        exchange.sendResponseHeaders(status, bytes.length);
+        try (OutputStream output = exchange.getResponseBody()) {
+            output.write(bytes);
         }
     }
 
-    private synchronized void read(HttpExchange x) throws IOException {
-        String path = x.getRequestURI().getPath();
+    private synchronized void handleRead(HttpExchange exchange) throws IOException {
+        String path = exchange.getRequestURI().getPath();
         if (path.equals("/kv")) {
-            String prefix = x.getRequestURI().getQuery().replaceAll(".*prefix=([^&]*).*", "$1");
-            List<Object> out = new ArrayList<>();
-            rows.forEach((k, r) -> {
-                if (k.startsWith(prefix)) {
-                    out.add(Map.of("k", k, "v", r.value, "stamp", r.stamp));
+            String prefix = exchange.getRequestURI().getQuery().replaceAll(".*prefix=([^&]*).*", "$1");
+            List<Object> matchingRows = new ArrayList<>();
+            rows.forEach((key, row) -> {
+                if (key.startsWith(prefix)) {
+                    matchingRows.add(Map.of("k", key, "v", row.value, "stamp", row.revision));
                 }
             });
-            reply(x, 200, Map.of("rows", out, "hasNext", false, "epoch", epoch));
+            respond(exchange, 200, Map.of("rows", matchingRows, "hasNext", false, "epoch", epoch));
             return;
         }
-        Row r = rows.get(path.substring(4));
-        if (r == null) {
-            reply(x, 404, Map.of("epoch", epoch));
+        Row row = rows.get(path.substring(4));
+        if (row == null) {
+            respond(exchange, 404, Map.of("epoch", epoch));
         } else {
-            reply(x, 200, Map.of("k", path.substring(4), "v", r.value, "stamp", r.stamp));
+            respond(exchange, 200, Map.of("k", path.substring(4), "v", row.value, "stamp", row.revision));
         }
     }
 
-    private synchronized void multi(HttpExchange x) throws IOException {
-        Map<String, Object> m = Cbor.readMap(x.getRequestBody().readAllBytes());
-        List<Object> failed = new ArrayList<>();
-        for (Object o : Fields.getList(m, "guards")) {
-            Map<String, Object> g = Fields.asMap(o);
-            Row r = rows.get(Fields.getString(g, "k"));
-            if ((r == null ? 0 : r.stamp) != Fields.getLong(g, "stamp", 0)) {
-                failed.add(g.get("k"));
+    private synchronized void handleTransaction(HttpExchange exchange) throws IOException {
+        Map<String, Object> transaction = Cbor.readMap(exchange.getRequestBody().readAllBytes());
+        List<Object> failedKeys = new ArrayList<>();
+        for (Object element : Fields.getList(transaction, "guards")) {
+            Map<String, Object> guard = Fields.asMap(element);
+            Row row = rows.get(Fields.getString(guard, "k"));
+            if ((row == null ? 0 : row.revision) != Fields.getLong(guard, "stamp", 0)) {
+                failedKeys.add(guard.get("k"));
             }
         }
-        if (!failed.isEmpty()) {
-            reply(x, 409, Map.of("failed", failed, "epoch", epoch));
+        if (!failedKeys.isEmpty()) {
+            respond(exchange, 409, Map.of("failed", failedKeys, "epoch", epoch));
             return;
         }
         epoch++;
-        for (Object o : Fields.getList(m, "writes")) {
-            Map<String, Object> w = Fields.asMap(o);
-            if (w.containsKey("put")) {
-                rows.put(Fields.getString(w, "put"), new Row(w.get("v"), epoch));
+        for (Object element : Fields.getList(transaction, "writes")) {
+            Map<String, Object> write = Fields.asMap(element);
+            if (write.containsKey("put")) {
+                rows.put(Fields.getString(write, "put"), new Row(write.get("v"), epoch));
             } else {
-                rows.remove(Fields.getString(w, "delete"));
+                rows.remove(Fields.getString(write, "delete"));
             }
         }
-        reply(x, 200, Map.of("epoch", epoch));
+        respond(exchange, 200, Map.of("epoch", epoch));
     }
 
-    private void watch(HttpExchange x) throws IOException {
+    private void handleWatch(HttpExchange exchange) throws IOException {
         try {
             Thread.sleep(200);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        List<Object> news = new ArrayList<>();
-        long now;
+        List<Object> changes = new ArrayList<>();
+        long currentEpoch;
         synchronized (this) {
-            now = epoch;
-            rows.forEach((k, r) -> {
-                if (k.startsWith("j/")) {
-                    news.add(Map.of("put", k, "v", r.value, "stamp", r.stamp));
+            currentEpoch = epoch;
+            rows.forEach((key, row) -> {
+                if (key.startsWith("j/")) {
+                    changes.add(Map.of("put", key, "v", row.value, "stamp", row.revision));
                 }
             });
         }
-        reply(x, 200, Map.of("epoch", now, "news", news));
+        respond(exchange, 200, Map.of("epoch", currentEpoch, "news", changes));
     }
 
-    /** Takes a node through its ordinary work: health, a job, a worker that runs it, an abort. */
+    /**
+     * Takes a controller through its ordinary work: health checks, submissions and polls, a worker that reports and runs the
+     * tasks, a cancellation, and a read of the metrics.
+     *
+     * @param port the controller's port for users and workers
+     */
     void exercise(int port) throws IOException, InterruptedException {
         for (int i = 0; i < 40; i++) {
             if (call(port, "GET", "/up", null) == 200) {
@@ -170,44 +179,44 @@
             job.put("shape", n % 2 == 0 ? "array" : "group");
             job.put("urgency", n % 2 == 0 ? "high" : "standard");
             job.put("pieces", 3);
-            for (String k : List.of("vcpus", "ramGb", "expectedS", "imageGb")) {
-                job.put(k, 1.0);
+            for (String field : List.of("vcpus", "ramGb", "expectedS", "imageGb")) {
+                job.put(field, 1.0);
             }
-            for (String k : List.of("cards", "bookmarkS", "stashS")) {
-                job.put(k, 0.0);
+            for (String field : List.of("cards", "bookmarkS", "stashS")) {
+                job.put(field, 0.0);
             }
-            for (String k : List.of("oneZone", "apart", "loaners")) {
-                job.put(k, n % 2 == 0);
+            for (String field : List.of("oneZone", "apart", "loaners")) {
+                job.put(field, n % 2 == 0);
             }
             job.put("bundle", "i");
             call(port, "POST", "/work", job);
             call(port, "GET", "/work/wk-00000" + n, null);
         }
         long token = 0;
-        List<Object> running = new ArrayList<>();
+        List<Object> attempts = new ArrayList<>();
         for (int tick = 1; tick < 24; tick++) {
-            Map<String, Object> b = new LinkedHashMap<>();
-            b.put("rig", "n-1");
-            b.put("address", "127.0.0.1:1");
-            b.put("build", "m");
-            b.put("site", "z");
-            b.put("loaners", false);
-            b.put("stint", session);
-            b.put("tick", tick);
-            b.put("baton", token);
-            b.put("pieces", running);
-            Map<String, Object> a = body(port, b);
-            token = Fields.getLong(a, "baton", token);
-            for (Object o : Fields.getList(a, "orders")) {
-                Map<String, Object> c = Fields.asMap(o);
-                Map<String, Object> t = new LinkedHashMap<>();
-                t.put("piece", c.get("piece"));
-                t.put("try", c.get("try"));
-                t.put("status", "exited");
-                t.put("cause", "done");
-                running.removeIf(r -> Fields.asMap(r).get("piece").equals(c.get("piece")));
-                if ("start".equals(c.get("verb"))) {
-                    running.add(t);
+            Map<String, Object> report = new LinkedHashMap<>();
+            report.put("rig", "n-1");
+            report.put("address", "127.0.0.1:1");
+            report.put("build", "m");
+            report.put("site", "z");
+            report.put("loaners", false);
+            report.put("stint", session);
+            report.put("tick", tick);
+            report.put("baton", token);
+            report.put("pieces", attempts);
+            Map<String, Object> response = sendReport(port, report);
+            token = Fields.getLong(response, "baton", token);
+            for (Object element : Fields.getList(response, "orders")) {
+                Map<String, Object> command = Fields.asMap(element);
+                Map<String, Object> attempt = new LinkedHashMap<>();
+                attempt.put("piece", command.get("piece"));
+                attempt.put("try", command.get("try"));
+                attempt.put("status", "exited");
+                attempt.put("cause", "done");
+                attempts.removeIf(other -> Fields.asMap(other).get("piece").equals(command.get("piece")));
+                if ("start".equals(command.get("verb"))) {
+                    attempts.add(attempt);
                 }
             }
             Thread.sleep(150);
@@ -218,45 +227,46 @@
         Thread.sleep(300);
     }
 
-    private static HttpURLConnection open(int port, String method, String path, Object body) throws IOException {
-        HttpURLConnection c = (HttpURLConnection)
+    private static HttpURLConnection openConnection(int port, String method, String path, Object body)
+            throws IOException {
+        HttpURLConnection connection = (HttpURLConnection)
                 URI.create("http://127.0.0.1:" + port + path).toURL().openConnection();
-        c.setRequestMethod(method);
-        c.setConnectTimeout(2000);
-        c.setReadTimeout(5000);
+        connection.setRequestMethod(method);
+        connection.setConnectTimeout(2000);
+        connection.setReadTimeout(5000);
         if (body != null) {
-            c.setDoOutput(true);
-            c.getOutputStream().write(Cbor.write(body));
+            connection.setDoOutput(true);
+            connection.getOutputStream().write(Cbor.write(body));
         }
-        return c;
+        return connection;
     }
 
     private static int call(int port, String method, String path, Object body) throws IOException {
-        HttpURLConnection c = open(port, method, path, body);
-        int status = c.getResponseCode();
-        try (var in = status < 400 ? c.getInputStream() : c.getErrorStream()) {
-            if (in != null) {
-                in.readAllBytes();
+        HttpURLConnection connection = openConnection(port, method, path, body);
+        int status = connection.getResponseCode();
+        try (var input = status < 400 ? connection.getInputStream() : connection.getErrorStream()) {
+            if (input != null) {
+                input.readAllBytes();
             }
         }
         return status;
     }
 
-    private static Map<String, Object> body(int port, Object body) throws IOException {
-        HttpURLConnection c = open(port, "POST", "/agent/beat", body);
-        if (c.getResponseCode() != 200) {
+    private static Map<String, Object> sendReport(int port, Object report) throws IOException {
+        HttpURLConnection connection = openConnection(port, "POST", "/agent/beat", report);
+        if (connection.getResponseCode() != 200) {
             return Map.of();
         }
-        try (var in = c.getInputStream()) {
-            return Cbor.readMap(in.readAllBytes());
+        try (var input = connection.getInputStream()) {
+            return Cbor.readMap(input.readAllBytes());
         }
     }
 
     @Override
     public void close() {
-        state.stop(0);
-        cloud.stop(0);
+        stateServer.stop(0);
+        cloudServer.stop(0);
         peer.close();
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/org/mountlug/cli/Main.java
+++ b/src/main/java/org/mountlug/cli/Main.java
@@ -12,16 +12,16 @@
 import picocli.CommandLine.ParseResult;
 
 /**
- * The command line. Built by hand rather than from annotations: reading those by reflection takes a noticeable part of
- * a controller's start.
+ * The command line. The commands are declared in code instead of by picocli's annotations, because reading annotations by
+ * reflection takes a noticeable part of a controller's start.
  */
 public final class Main {
     private static final String VERSION = "mountlug 0.1.0";
-    private static final int BAD_SETTINGS = 2;
+    private static final int EXIT_INVALID_INPUT = 2;
 
     private Main() {}
 
-    /** Runs the command line; ends the process unless it serves. */
+    /** Runs a command and ends the process with its exit code, unless a controller was started, which keeps running. */
     public static void main(String[] args) {
         int code = run(args);
         if (code >= 0) {
@@ -29,102 +29,108 @@
         }
     }
 
-    private static CommandSpec command(String name, String about) {
-        CommandSpec s = CommandSpec.create().name(name);
-        s.usageMessage().description(about);
-        s.addOption(OptionSpec.builder("-h", "--help")
+    private static CommandSpec newCommand(String name, String description) {
+        CommandSpec command = CommandSpec.create().name(name);
+        command.usageMessage().description(description);
+        command.addOption(OptionSpec.builder("-h", "--help")
                 .usageHelp(true)
                 .description("Shows this help.")
                 .build());
-        return s;
+        return command;
     }
 
-    private static CommandSpec withSettings(String name, String about) {
-        return command(name, about)
+    private static CommandSpec newSettingsCommand(String name, String description) {
+        return newCommand(name, description)
                 .addOption(OptionSpec.builder("--config")
                         .paramLabel("FILE")
                         .type(Path.class)
                         .required(true)
-                        .description("The platform's settings, TOML.")
+                        .description("The platform settings, a TOML file.")
                         .build())
                 .addOption(OptionSpec.builder("--operators")
                         .paramLabel("FILE")
                         .type(Path.class)
-                        .description("The operators' own settings, YAML.")
+                        .description("The operator settings, a YAML file.")
                         .build());
     }
 
-    private static CommandLine commandLine() {
-        CommandSpec root = command("mountlug", "A cluster scheduler: controllers that rent machines and run jobs.");
+    private static CommandLine newCommandLine() {
+        CommandSpec root = newCommand("mountlug", "A cluster scheduler: controllers that rent machines and run jobs.");
         root.version(VERSION);
         root.addOption(OptionSpec.builder("-V", "--version")
                 .versionHelp(true)
                 .description("Shows the version.")
                 .build());
-        root.addSubcommand("serve", withSettings("serve", "Runs a controller until it is killed."));
-        root.addSubcommand("check", withSettings("check", "Checks settings; exits 0 if they are good, 2 if not."));
-        CommandSpec rehearse = command("rehearse", "Runs a controller against nothing for a moment, at build time.");
+        root.addSubcommand("serve", newSettingsCommand("serve", "Runs a controller until it is killed."));
+        root.addSubcommand(
+                "check", newSettingsCommand("check", "Checks the settings; exits with 0 if they are valid, 2 if not."));
+        CommandSpec rehearse = newCommand(
+                "rehearse", "Runs a controller against fake services at build time, to record the class-data archive.");
         rehearse.usageMessage().hidden(true);
         root.addSubcommand("rehearse", rehearse);
         return new CommandLine(root);
     }
 
-    /** Returns the exit code, or -1 while a controller runs. */
+    /** Runs a command; returns its exit code, or -1 if a controller was started, which keeps running. */
     static int run(String[] args) {
-        logging(false);
-        CommandLine cli = commandLine();
-        ParseResult r;
+        configureLogging(false);
+        CommandLine commandLine = newCommandLine();
+        ParseResult parsed;
         try {
-            r = cli.parseArgs(args);
+            parsed = commandLine.parseArgs(args);
         } catch (CommandLine.ParameterException e) {
             System.err.println(e.getMessage());
             e.getCommandLine().usage(System.err);
-            return BAD_SETTINGS;
+            return EXIT_INVALID_INPUT;
         }
-        if (CommandLine.printHelpIfRequested(r)) {
+        if (CommandLine.printHelpIfRequested(parsed)) {
             return 0;
         }
-        if (!r.hasSubcommand()) {
-            cli.usage(System.err);
-            return BAD_SETTINGS;
+        if (!parsed.hasSubcommand()) {
+            commandLine.usage(System.err);
+            return EXIT_INVALID_INPUT;
         }
-        ParseResult sub = r.subcommand();
-        String name = sub.commandSpec().name();
+        ParseResult subcommand = parsed.subcommand();
+        String name = subcommand.commandSpec().name();
         if (name.equals("rehearse")) {
             return CdsTrainingRun.run();
         }
-        Path config = sub.matchedOptionValue("--config", (Path) null);
-        Path own = sub.matchedOptionValue("--operators", (Path) null);
+        Path platformFile = subcommand.matchedOptionValue("--config", (Path) null);
+        Path operatorsFile = subcommand.matchedOptionValue("--operators", (Path) null);
         try {
-            OperatorSettings operators = own == null ? OperatorSettings.defaults() : OperatorSettings.load(own);
-            Settings settings = Settings.load(config, operators);
-            List<String> sizes =
+            OperatorSettings operators =
+                    operatorsFile == null ? OperatorSettings.defaults() : OperatorSettings.load(operatorsFile);
+            Settings settings = Settings.load(platformFile, operators);
+            List<String> sizing =
                     ControllerSizing.check(settings, Runtime.getRuntime().maxMemory() / 1048576.0);
             if (name.equals("check")) {
-                sizes.forEach(System.out::println);
+                sizing.forEach(System.out::println);
                 operators.effectiveValues().forEach(System.out::println);
                 System.out.println("settings of " + settings.label() + " are good");
                 return 0;
             }
-            logging(operators.logTimestamps());
-            new ControllerServer(settings, operators, sizes).start();
+            configureLogging(operators.logTimestamps());
+            new ControllerServer(settings, operators, sizing).start();
             return -1;
         } catch (Settings.InvalidSettingException e) {
             System.err.println(e.getMessage());
-            return BAD_SETTINGS;
+            return EXIT_INVALID_INPUT;
         } catch (java.io.IOException | RuntimeException e) {
             System.err.println("cannot start: " + e);
             return 1;
         }
     }
 
-    /** Logging goes to standard error at the level that LOG_LEVEL gives; libraries speak up only when in trouble. */
-    private static void logging(boolean times) {
+    /**
+     * Sends logs to standard error, at the level that the environment variable {@code LOG_LEVEL} gives; libraries log errors
+     * only.
+     */
+    private static void configureLogging(boolean timestamps) {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
         System.setProperty("org.slf4j.simpleLogger.logFile", "System.err");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
-        System.setProperty("org.slf4j.simpleLogger.showDateTime", Boolean.toString(times));
+        System.setProperty("org.slf4j.simpleLogger.showDateTime", Boolean.toString(timestamps));
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
         System.setProperty(
                 "org.slf4j.simpleLogger.log.org.mountlug",
--- a/src/main/java/org/mountlug/cli/package-info.java
+++ b/src/main/java/org/mountlug/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, and the rehearsal that the build runs to make a class-data archive. */
+/** The command line, and the CDS training run with which the build creates a class-data archive. */
 package org.mountlug.cli;
